--- a/crates/acacia-control/src/serving/config_cache.rs
+++ b/crates/acacia-control/src/serving/config_cache.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use acaciabay::core::serving::config::ConfigNumber;
-use acaciabay::core::serving::config_chain::{HeldConfig, RecentConfigs};
+use acaciabay::core::serving::config_transfer::{ConfigDocument, RecentConfigs};
 use acaciabay::util::byte_delta::ByteDelta;
 
 /// How many deltas between configurations are kept: entries are behind by one change, a few of them by more.
@@ -26,7 +26,7 @@
 
 impl ConfigCache {
     /// Returns what turns one configuration into another. All entries need the same deltas, so each is made once.
-    pub(super) fn delta_between(&mut self, base: &HeldConfig, target: &HeldConfig) -> ByteDelta {
+    pub(super) fn delta_between(&mut self, base: &ConfigDocument, target: &ConfigDocument) -> ByteDelta {
         let wanted = (base.number, target.number);
         let known = self.deltas.iter().find(|known| (known.base, known.target) == wanted);
         if let Some(known) = known {
--- a/crates/acacia-control/src/serving/hub.rs
+++ b/crates/acacia-control/src/serving/hub.rs
@@ -14,7 +14,7 @@
 use acaciabay::core::clock::BootTime;
 use acaciabay::core::name::{DomainName, EndpointName, HostName, ServiceName};
 use acaciabay::core::serving::config::{ConfigNumber, ServingConfig};
-use acaciabay::core::serving::config_chain::HeldConfig;
+use acaciabay::core::serving::config_transfer::ConfigDocument;
 use acaciabay::core::serving::endpoint_load::EndpointWork;
 use acaciabay::core::serving::endpoint_registry::{EndpointBirth, EndpointRegistry, ReportEffect, ServingEndpoint};
 use acaciabay::core::serving::kept_parts::KeptLog;
@@ -230,7 +230,7 @@
 
     /// Returns the configuration in force, read once for each number.
     pub(super) fn config(&self) -> Option<Arc<ServingConfig>> {
-        let HeldConfig { number, document } = self.newest_config();
+        let ConfigDocument { number, document } = self.newest_config();
         if number == ConfigNumber(0) {
             return None;
         }
@@ -253,9 +253,9 @@
     }
 
     /// Returns the configuration that this process knows as the newest.
-    pub(super) fn newest_config(&self) -> HeldConfig {
+    pub(super) fn newest_config(&self) -> ConfigDocument {
         let state = self.group.read();
-        HeldConfig {
+        ConfigDocument {
             number: state.serving.config_number,
             document: state.serving.document.clone(),
         }
@@ -272,7 +272,7 @@
         while numbers.changed().await.is_ok() {
             numbers.borrow_and_update();
             let newest = self.newest_config();
-            self.configs().recent.note(newest);
+            self.configs().recent.record(newest);
         }
     }
 
--- a/crates/acacia-control/src/serving/renewals.rs
+++ b/crates/acacia-control/src/serving/renewals.rs
@@ -15,7 +15,7 @@
 use acaciabay::core::clock::BootTime;
 use acaciabay::core::name::HostName;
 use acaciabay::core::serving::config::ConfigNumber;
-use acaciabay::core::serving::config_chain::{HeldConfig, SentConfig};
+use acaciabay::core::serving::config_transfer::{ConfigDocument, ConfigSender};
 use acaciabay::core::serving::kept_parts::LogPlace;
 use acaciabay::core::serving::start_counts::{EntryStart, GatheredRow};
 use acaciabay::util::number::whole_millis;
@@ -67,7 +67,7 @@
 /// What a connection has brought an entry so far.
 #[derive(Debug, Default)]
 pub(super) struct SentNews {
-    config: SentConfig,
+    config: ConfigSender,
     kept: LogPlace,
 }
 
@@ -87,15 +87,15 @@
     hub: &ServingHub,
     hello: &ServingHello,
     request: &RenewServing,
-    newest: &HeldConfig,
-    sent: &mut SentConfig,
+    newest: &ConfigDocument,
+    sent: &mut ConfigSender,
 ) -> Option<serving_renewed::Content> {
     let held = ConfigNumber(request.config_number);
     if !hello.takes_deltas {
         let is_behind = held != newest.number;
         return is_behind.then(|| serving_renewed::Content::Document(newest.document.clone()));
     }
-    let content = sent.advance(
+    let content = sent.next_update(
         held,
         newest,
         |number| hub.configs().recent.get(number).cloned(),
@@ -108,7 +108,7 @@
     hub: &ServingHub,
     hello: &ServingHello,
     request: &RenewServing,
-    newest: &HeldConfig,
+    newest: &ConfigDocument,
     content: &serving_renewed::Content,
     read_at: BootTime,
 ) {
--- a/crates/acacia-entry/src/serving/config_intake.rs
+++ b/crates/acacia-entry/src/serving/config_intake.rs
@@ -9,8 +9,8 @@
 use acacia_wire::generated::serving::serving_renewed;
 use acaciabay::core::clock::BootTime;
 use acaciabay::core::serving::config::ConfigNumber;
-use acaciabay::core::serving::config_chain::{HeldConfig, TakenConfig};
 use acaciabay::core::serving::config_index::ConfigIndex;
+use acaciabay::core::serving::config_transfer::{ConfigDocument, ConfigReceiver};
 use acaciabay::core::serving::renewal_ledger::RenewalLedger;
 use acaciabay::util::number::whole_millis;
 use prost::Message;
@@ -20,14 +20,14 @@
 /// What is open and known on one connection to a replica.
 #[derive(Debug, Default)]
 pub(super) struct ReplicaSession {
-    pub(super) renewals: RenewalLedger<HeldConfig>,
-    taken: TakenConfig,
+    pub(super) renewals: RenewalLedger<ConfigDocument>,
+    taken: ConfigReceiver,
 }
 
 /// A configuration that an answer has brought or confirmed.
 #[derive(Debug)]
 pub(super) struct ConfigArrival {
-    pub(super) config: HeldConfig,
+    pub(super) config: ConfigDocument,
     /// When the question was asked that was answered.
     pub(super) asked_at: BootTime,
     arrived_at: BootTime,
@@ -52,7 +52,9 @@
         let asked = asked.ok_or_else(|| io::Error::other("answer to a renewal that is not open"))?;
         let bytes = content_bytes(content.as_ref());
         let content = content.map(content_from_wire).transpose();
-        let taken = self.taken.take(number, content.map_err(io::Error::other)?, &asked.held);
+        let taken = self
+            .taken
+            .receive(number, content.map_err(io::Error::other)?, &asked.held);
         Ok(ConfigArrival {
             config: taken.map_err(io::Error::other)?.clone(),
             asked_at: asked.asked_at,
--- a/crates/acacia-entry/src/serving/shared.rs
+++ b/crates/acacia-entry/src/serving/shared.rs
@@ -12,9 +12,9 @@
 use acaciabay::core::name::{CustomerName, DomainName, EndpointName, ServiceName};
 use acaciabay::core::serving::answer_pace::AnswerPace;
 use acaciabay::core::serving::config::EngineSpec;
-use acaciabay::core::serving::config_chain::HeldConfig;
 use acaciabay::core::serving::config_index::ConfigIndex;
 use acaciabay::core::serving::config_standing::ConfigStanding;
+use acaciabay::core::serving::config_transfer::ConfigDocument;
 use acaciabay::core::serving::endpoint_load::{EndpointWork, LoadTable};
 use acaciabay::core::serving::endpoint_registry::EndpointRegistry;
 use acaciabay::core::serving::group_clock::GroupClock;
@@ -61,7 +61,7 @@
 pub(super) struct EntryView {
     pub(super) index: Option<Arc<ConfigIndex>>,
     /// The configuration that `index` was made of.
-    pub(super) held: HeldConfig,
+    pub(super) held: ConfigDocument,
     pub(super) standing: ConfigStanding,
     pub(super) registry: EndpointRegistry,
     /// Whether a replica has told all endpoints that it knows.
--- a/crates/acacia-wire/src/serving_message.rs
+++ b/crates/acacia-wire/src/serving_message.rs
@@ -2,7 +2,7 @@
 
 use acaciabay::core::name::{CustomerName, EndpointName};
 use acaciabay::core::serving::config::ConfigNumber;
-use acaciabay::core::serving::config_chain::ConfigContent;
+use acaciabay::core::serving::config_transfer::ConfigUpdate;
 use acaciabay::core::serving::duty::{DutyTable, FenceNumber};
 use acaciabay::core::serving::endpoint_load::EndpointWork;
 use acaciabay::core::serving::endpoint_registry::{EndpointBirth, EndpointPhase, EngineStage, ServingEndpoint};
@@ -160,10 +160,10 @@
 }
 
 /// Encodes what brings an entry to a configuration.
-pub fn content_to_wire(content: ConfigContent) -> serving_renewed::Content {
+pub fn content_to_wire(content: ConfigUpdate) -> serving_renewed::Content {
     match content {
-        ConfigContent::Whole(document) => serving_renewed::Content::Document(document),
-        ConfigContent::Change { base, delta } => {
+        ConfigUpdate::Full(document) => serving_renewed::Content::Document(document),
+        ConfigUpdate::Delta { base, delta } => {
             let pieces = delta.pieces().iter().map(piece_to_wire);
             serving_renewed::Content::Delta(serving::DocumentDelta {
                 base_number: base.0,
@@ -178,12 +178,12 @@
 /// # Errors
 ///
 /// Fails when a piece of a change is missing or impossible.
-pub fn content_from_wire(message: serving_renewed::Content) -> Result<ConfigContent, WireError> {
+pub fn content_from_wire(message: serving_renewed::Content) -> Result<ConfigUpdate, WireError> {
     match message {
-        serving_renewed::Content::Document(document) => Ok(ConfigContent::Whole(document)),
+        serving_renewed::Content::Document(document) => Ok(ConfigUpdate::Full(document)),
         serving_renewed::Content::Delta(message) => {
             let pieces: Result<Vec<_>, WireError> = message.pieces.into_iter().map(piece_from_wire).collect();
-            Ok(ConfigContent::Change {
+            Ok(ConfigUpdate::Delta {
                 base: ConfigNumber(message.base_number),
                 delta: ByteDelta::from_pieces(pieces?),
             })
--- a/crates/acaciabay/src/core/serving/config_chain.rs
+++ b/crates/acaciabay/src/core/serving/config_transfer.rs
@@ -14,7 +14,7 @@
 
 /// A configuration as its operator sent it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct HeldConfig {
+pub struct ConfigDocument {
     /// Its number; 0 while there is none.
     pub number: ConfigNumber,
     /// The document.
@@ -23,12 +23,12 @@
 
 /// What brings an entry to a configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ConfigContent {
+pub enum ConfigUpdate {
     /// The whole document.
-    Whole(Bytes),
+    Full(Bytes),
     /// What has changed since the configuration that this connection has brought before, or, if it has brought none,
     /// since the one that the entry held when it asked.
-    Change {
+    Delta {
         /// The number of that one.
         base: ConfigNumber,
         /// What has changed.
@@ -45,12 +45,12 @@
 /// the whole document: all entries ask it at the same moment.
 #[derive(Clone, Debug, Default)]
 pub struct RecentConfigs {
-    rows: VecDeque<HeldConfig>,
+    rows: VecDeque<ConfigDocument>,
 }
 
 impl RecentConfigs {
     /// Notes a configuration that has come into force.
-    pub fn note(&mut self, config: HeldConfig) {
+    pub fn record(&mut self, config: ConfigDocument) {
         let is_newer = self.rows.front().is_none_or(|newest| newest.number < config.number);
         if is_newer {
             self.rows.truncate(KEPT_CONFIGS);
@@ -59,70 +59,70 @@
     }
 
     /// Returns a configuration by its number.
-    pub fn get(&self, number: ConfigNumber) -> Option<&HeldConfig> {
+    pub fn get(&self, number: ConfigNumber) -> Option<&ConfigDocument> {
         self.rows.iter().find(|config| config.number == number)
     }
 }
 
 /// The last configuration that a replica has put on a connection.
 #[derive(Clone, Debug, Default)]
-pub struct SentConfig {
-    last: Option<HeldConfig>,
+pub struct ConfigSender {
+    last: Option<ConfigDocument>,
 }
 
-impl SentConfig {
+impl ConfigSender {
     /// Returns what has to be sent so that an entry holds `newest`, which said that it held the number `held` when it
     /// asked; nothing if that is on its way or held already. `known` finds what was in force before.
-    pub fn advance(
+    pub fn next_update(
         &mut self,
         held: ConfigNumber,
-        newest: &HeldConfig,
-        known: impl FnOnce(ConfigNumber) -> Option<HeldConfig>,
-        delta_between: impl FnOnce(&HeldConfig, &HeldConfig) -> ByteDelta,
-    ) -> Option<ConfigContent> {
+        newest: &ConfigDocument,
+        known: impl FnOnce(ConfigNumber) -> Option<ConfigDocument>,
+        delta_between: impl FnOnce(&ConfigDocument, &ConfigDocument) -> ByteDelta,
+    ) -> Option<ConfigUpdate> {
         let last = self.last.replace(newest.clone());
         if last.as_ref().map_or(held, |last| last.number) == newest.number {
             return None;
         }
         Some(match last.or_else(|| known(held)) {
-            Some(base) => ConfigContent::Change {
+            Some(base) => ConfigUpdate::Delta {
                 base: base.number,
                 delta: delta_between(&base, newest),
             },
-            None => ConfigContent::Whole(newest.document.clone()),
+            None => ConfigUpdate::Full(newest.document.clone()),
         })
     }
 }
 
 /// Why a configuration cannot be taken; the connection has to begin anew.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ChainBreak {
+pub enum ConfigUpdateError {
     /// The change is one of a configuration that this connection has not brought.
-    OtherBase {
+    BaseMismatch {
         /// The number of that one.
         base: ConfigNumber,
     },
     /// The change does not fit the configuration that it is made for.
-    Misfit,
+    DeltaMismatch,
     /// Nothing was sent, and nothing is held that this could mean.
-    NothingSent,
+    MissingUpdate,
 }
 
-impl std::fmt::Display for ChainBreak {
+impl std::fmt::Display for ConfigUpdateError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::OtherBase { base } => write!(f, "change of configuration {}, which did not come before", base.0),
-            Self::Misfit => f.write_str("change does not fit its configuration"),
-            Self::NothingSent => f.write_str("no configuration was sent, and another is held"),
+            Self::BaseMismatch { base } => write!(f, "change of configuration {}, which did not come before", base.0),
+            Self::DeltaMismatch => f.write_str("change does not fit its configuration"),
+            Self::MissingUpdate => f.write_str("no configuration was sent, and another is held"),
         }
     }
 }
 
-impl std::error::Error for ChainBreak {}
+impl std::error::Error for ConfigUpdateError {}
 
-impl From<DeltaMisfit> for ChainBreak {
+impl From<DeltaMisfit> for ConfigUpdateError {
     fn from(_misfit: DeltaMisfit) -> Self {
-        Self::Misfit
+        Self::DeltaMismatch
     }
 }
 
@@ -130,40 +130,40 @@
 ///
 /// It may be older than the one that the entry serves by, which may have come over another connection.
 #[derive(Clone, Debug, Default)]
-pub struct TakenConfig {
-    last: Option<HeldConfig>,
+pub struct ConfigReceiver {
+    last: Option<ConfigDocument>,
 }
 
-impl TakenConfig {
+impl ConfigReceiver {
     /// Returns the configuration with this number, which an answer has brought or meant; `held` is what the entry held
     /// when it asked the question.
     ///
     /// # Errors
     ///
     /// Fails when the answer does not follow from what came before it.
-    pub fn take(
+    pub fn receive(
         &mut self,
         number: ConfigNumber,
-        content: Option<ConfigContent>,
-        held: &HeldConfig,
-    ) -> Result<&HeldConfig, ChainBreak> {
+        content: Option<ConfigUpdate>,
+        held: &ConfigDocument,
+    ) -> Result<&ConfigDocument, ConfigUpdateError> {
         let document = match (content, &self.last) {
-            (Some(ConfigContent::Whole(document)), _) => document,
-            (Some(ConfigContent::Change { base, delta }), last) => {
+            (Some(ConfigUpdate::Full(document)), _) => document,
+            (Some(ConfigUpdate::Delta { base, delta }), last) => {
                 let last = last.as_ref().unwrap_or(held);
                 if last.number != base {
-                    return Err(ChainBreak::OtherBase { base });
+                    return Err(ConfigUpdateError::BaseMismatch { base });
                 }
                 delta.apply(&last.document)?
             }
             (None, last) => {
                 let last = last.as_ref().unwrap_or(held);
                 if last.number != number {
-                    return Err(ChainBreak::NothingSent);
+                    return Err(ConfigUpdateError::MissingUpdate);
                 }
                 last.document.clone()
             }
         };
-        Ok(self.last.insert(HeldConfig { number, document }))
+        Ok(self.last.insert(ConfigDocument { number, document }))
     }
 }
--- a/crates/acaciabay/src/core/serving/mod.rs
+++ b/crates/acaciabay/src/core/serving/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! * [`config`] is the configuration, [`config_index`] finds a call's route and customer in it; [`config_standing`] says
 //!   whether it is the newest.
-//! * [`config_chain`] hands configurations over a connection, [`renewal_ledger`] says when an entry asks.
+//! * [`config_transfer`] hands configurations over a connection, [`renewal_ledger`] says when an entry asks.
 //! * [`endpoint_registry`] orders what endpoints say of themselves, whichever way and however late it arrives.
 //! * [`prompt`] and [`part_memory`] say what a prompt consists of and which endpoint has read which part.
 //! * [`kept_parts`] tells all entries which engines keep which parts.
@@ -23,9 +23,9 @@
 
 pub mod answer_pace;
 pub mod config;
-pub mod config_chain;
 pub mod config_index;
 pub mod config_standing;
+pub mod config_transfer;
 pub mod duty;
 pub mod endpoint_load;
 pub mod endpoint_registry;
--- a/crates/acaciabay/tests/serving/chain.rs
+++ b/crates/acaciabay/tests/serving/config_transfer.rs
@@ -3,33 +3,33 @@
 use std::collections::VecDeque;
 
 use acaciabay::core::serving::config::ConfigNumber;
-use acaciabay::core::serving::config_chain::{
-    ChainBreak, ConfigContent, HeldConfig, RecentConfigs, SentConfig, TakenConfig,
+use acaciabay::core::serving::config_transfer::{
+    ConfigDocument, ConfigReceiver, ConfigSender, ConfigUpdate, ConfigUpdateError, RecentConfigs,
 };
 use acaciabay::util::byte_delta::ByteDelta;
 use proptest::prelude::*;
 
-fn config(number: u64) -> HeldConfig {
+fn config(number: u64) -> ConfigDocument {
     let routes: Vec<_> = (0..number % 50)
         .map(|route| format!("route {route} of {number}"))
         .collect();
-    HeldConfig {
+    ConfigDocument {
         number: ConfigNumber(number),
         document: format!("version {number}: {} idle {}", routes.join(","), number % 7).into(),
     }
 }
 
-fn advance(sent: &mut SentConfig, held: u64, newest: &HeldConfig) -> Option<ConfigContent> {
-    advance_knowing(sent, held, newest, &RecentConfigs::default())
+fn next_update(sent: &mut ConfigSender, held: u64, newest: &ConfigDocument) -> Option<ConfigUpdate> {
+    next_update_knowing(sent, held, newest, &RecentConfigs::default())
 }
 
-fn advance_knowing(
-    sent: &mut SentConfig,
+fn next_update_knowing(
+    sent: &mut ConfigSender,
     held: u64,
-    newest: &HeldConfig,
+    newest: &ConfigDocument,
     recent: &RecentConfigs,
-) -> Option<ConfigContent> {
-    sent.advance(
+) -> Option<ConfigUpdate> {
+    sent.next_update(
         ConfigNumber(held),
         newest,
         |number| recent.get(number).cloned(),
@@ -40,17 +40,17 @@
 /// Guards against a large configuration that is sent again with every question that is asked while it is on its way.
 #[test]
 fn a_configuration_on_its_way_is_not_sent_again() {
-    let mut sent = SentConfig::default();
+    let mut sent = ConfigSender::default();
 
-    let first = advance(&mut sent, 0, &config(12));
-    let again = advance(&mut sent, 0, &config(12));
-    let later = advance(&mut sent, 0, &config(15));
+    let first = next_update(&mut sent, 0, &config(12));
+    let again = next_update(&mut sent, 0, &config(12));
+    let later = next_update(&mut sent, 0, &config(15));
 
-    assert_eq!(first, Some(ConfigContent::Whole(config(12).document)));
+    assert_eq!(first, Some(ConfigUpdate::Full(config(12).document)));
     assert_eq!(again, None);
     assert!(matches!(
         later,
-        Some(ConfigContent::Change {
+        Some(ConfigUpdate::Delta {
             base: ConfigNumber(12),
             ..
         })
@@ -60,12 +60,12 @@
 /// Guards against a session that breaks because another one has brought something newer meanwhile.
 #[test]
 fn a_connection_goes_on_from_what_it_has_brought_itself() {
-    let (mut sent, mut taken) = (SentConfig::default(), TakenConfig::default());
-    let first = advance(&mut sent, 0, &config(12));
-    taken.take(ConfigNumber(12), first, &config(0)).expect("whole");
-    let change = advance(&mut sent, 20, &config(21));
+    let (mut sent, mut taken) = (ConfigSender::default(), ConfigReceiver::default());
+    let first = next_update(&mut sent, 0, &config(12));
+    taken.receive(ConfigNumber(12), first, &config(0)).expect("whole");
+    let change = next_update(&mut sent, 20, &config(21));
 
-    let held = taken.take(ConfigNumber(21), change, &config(20));
+    let held = taken.receive(ConfigNumber(21), change, &config(20));
 
     assert_eq!(held, Ok(&config(21)));
 }
@@ -74,40 +74,42 @@
 #[test]
 fn a_new_connection_starts_from_what_the_entry_holds() {
     let mut recent = RecentConfigs::default();
-    (1..=9).for_each(|number| recent.note(config(number)));
-    recent.note(config(4));
+    (1..=9).for_each(|number| recent.record(config(number)));
+    recent.record(config(4));
 
-    let change = advance_knowing(&mut SentConfig::default(), 6, &config(9), &recent);
-    let held_long_ago = advance_knowing(&mut SentConfig::default(), 4, &config(9), &recent);
+    let change = next_update_knowing(&mut ConfigSender::default(), 6, &config(9), &recent);
+    let held_long_ago = next_update_knowing(&mut ConfigSender::default(), 4, &config(9), &recent);
 
-    let taken = TakenConfig::default()
-        .take(ConfigNumber(9), change.clone(), &config(6))
+    let taken = ConfigReceiver::default()
+        .receive(ConfigNumber(9), change.clone(), &config(6))
         .cloned();
     assert!(matches!(
         change,
-        Some(ConfigContent::Change {
+        Some(ConfigUpdate::Delta {
             base: ConfigNumber(6),
             ..
         })
     ));
     assert_eq!(taken, Ok(config(9)));
-    assert_eq!(held_long_ago, Some(ConfigContent::Whole(config(9).document)));
+    assert_eq!(held_long_ago, Some(ConfigUpdate::Full(config(9).document)));
 }
 
 #[test]
 fn an_answer_that_follows_from_nothing_ends_the_session() {
-    let other = ConfigContent::Change {
+    let other = ConfigUpdate::Delta {
         base: ConfigNumber(2),
         delta: ByteDelta::default(),
     };
 
-    let change = TakenConfig::default()
-        .take(ConfigNumber(4), Some(other), &config(3))
+    let change = ConfigReceiver::default()
+        .receive(ConfigNumber(4), Some(other), &config(3))
+        .cloned();
+    let nothing = ConfigReceiver::default()
+        .receive(ConfigNumber(4), None, &config(3))
         .cloned();
-    let nothing = TakenConfig::default().take(ConfigNumber(4), None, &config(3)).cloned();
 
-    assert_eq!(change, Err(ChainBreak::OtherBase { base: ConfigNumber(2) }));
-    assert_eq!(nothing, Err(ChainBreak::NothingSent));
+    assert_eq!(change, Err(ConfigUpdateError::BaseMismatch { base: ConfigNumber(2) }));
+    assert_eq!(nothing, Err(ConfigUpdateError::MissingUpdate));
 }
 
 /// What happens next between an entry and the replicas that it has sessions with.
@@ -127,10 +129,10 @@
 
 #[derive(Debug, Default)]
 struct Connection {
-    sent: SentConfig,
-    taken: TakenConfig,
-    questions: VecDeque<HeldConfig>,
-    answers: VecDeque<(HeldConfig, ConfigNumber, Option<ConfigContent>)>,
+    sent: ConfigSender,
+    taken: ConfigReceiver,
+    questions: VecDeque<ConfigDocument>,
+    answers: VecDeque<(ConfigDocument, ConfigNumber, Option<ConfigUpdate>)>,
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -151,11 +153,11 @@
         let mut connections: [Connection; 3] = Default::default();
         let mut newest = config(1);
         let mut recent = RecentConfigs::default();
-        let mut held = HeldConfig::default();
+        let mut held = ConfigDocument::default();
         for step in steps {
             match step {
                 Step::Commit(ahead) => {
-                    recent.note(newest.clone());
+                    recent.record(newest.clone());
                     newest = config(newest.number.0 + ahead);
                 }
                 Step::Reconnect(replica) => connections[replica] = Connection::default(),
@@ -163,14 +165,14 @@
                 Step::Answer(replica) => {
                     let connection = &mut connections[replica];
                     if let Some(asked) = connection.questions.pop_front() {
-                        let content = advance_knowing(&mut connection.sent, asked.number.0, &newest, &recent);
+                        let content = next_update_knowing(&mut connection.sent, asked.number.0, &newest, &recent);
                         connection.answers.push_back((asked, newest.number, content));
                     }
                 }
                 Step::Arrive(replica) => {
                     let connection = &mut connections[replica];
                     if let Some((asked, number, content)) = connection.answers.pop_front() {
-                        let taken = connection.taken.take(number, content, &asked);
+                        let taken = connection.taken.receive(number, content, &asked);
                         prop_assert_eq!(taken, Ok(&config(number.0)));
                         if number > held.number {
                             held = config(number.0);
--- a/crates/acaciabay/tests/serving/main.rs
+++ b/crates/acaciabay/tests/serving/main.rs
@@ -1,9 +1,9 @@
 //! Serving by host and path: each decision against what it has to come to, and against naive versions.
 
 mod budget;
-mod chain;
 mod clock;
 mod config;
+mod config_transfer;
 mod counts;
 mod events;
 mod fixtures;
