--- a/crates/acacia-entry/src/serving/call.rs
+++ b/crates/acacia-entry/src/serving/call.rs
@@ -90,8 +90,8 @@
     };
     slog::info!(shared.log, "call refused"; "event" => event::CALL_REFUSED, "request" => request,
         "path" => head.map(|head| head.path.as_str()), "refusal" => ?refusal,
-        "config" => number.0, "told" => standing.told().0,
-        "confirmed_ms" => standing.confirmed_ago(received_at).map(whole_millis),
+        "config" => number.0, "told" => standing.announced().0,
+        "confirmed_ms" => standing.time_since_confirmed(received_at).map(whole_millis),
         "after_ms" => whole_millis(now.since(received_at)));
     metrics::counter!("acacia_calls_refused_total", "reason" => refusal.reason()).increment(1);
     shared.codec.write_refusal(request, &refusal)
--- a/crates/acacia-entry/src/serving/control_sessions.rs
+++ b/crates/acacia-entry/src/serving/control_sessions.rs
@@ -195,7 +195,7 @@
         if number <= view.held.number {
             return false;
         }
-        if view.standing.hear(boot_now(), number) {
+        if view.standing.record_announced(boot_now(), number) {
             slog::info!(self.shared.log, "newer configuration announced"; "event" => event::CONFIG_TOLD,
                 "number" => number.0, "held" => view.held.number.0, "replica" => %address);
         }
@@ -207,7 +207,7 @@
         let held = view.held.number;
         if let Some(told_at) = view.standing.behind_since(held) {
             slog::info!(self.shared.log, "newer configuration asked for"; "event" => event::CONFIG_ASKED,
-                "asked" => asked, "told" => view.standing.told().0, "held" => held.0, "replica" => %address,
+                "asked" => asked, "told" => view.standing.announced().0, "held" => held.0, "replica" => %address,
                 "told_ms" => whole_millis(now.since(told_at)));
         }
     }
--- a/crates/acacia-entry/src/serving/shared.rs
+++ b/crates/acacia-entry/src/serving/shared.rs
@@ -12,8 +12,8 @@
 use acaciabay::core::name::{CustomerName, DomainName, EndpointName, ServiceName};
 use acaciabay::core::serving::answer_pace::AnswerPace;
 use acaciabay::core::serving::config::EngineSpec;
+use acaciabay::core::serving::config_freshness::ConfigFreshness;
 use acaciabay::core::serving::config_index::ConfigIndex;
-use acaciabay::core::serving::config_standing::ConfigStanding;
 use acaciabay::core::serving::config_transfer::ConfigDocument;
 use acaciabay::core::serving::endpoint_load::{EndpointWork, LoadTable};
 use acaciabay::core::serving::endpoint_registry::EndpointRegistry;
@@ -62,7 +62,7 @@
     pub(super) index: Option<Arc<ConfigIndex>>,
     /// The configuration that `index` was made of.
     pub(super) held: ConfigDocument,
-    pub(super) standing: ConfigStanding,
+    pub(super) standing: ConfigFreshness,
     pub(super) registry: EndpointRegistry,
     /// Whether a replica has told all endpoints that it knows.
     pub(super) heard_endpoints: bool,
@@ -255,7 +255,7 @@
 
     /// Extends the lease by a confirmation that was asked for at `asked_at`.
     pub(super) fn confirm_lease(&self, asked_at: BootTime) {
-        self.view().standing.confirm(asked_at);
+        self.view().standing.record_confirmed(asked_at);
         self.lease
             .extend(asked_at + self.settings.key_withdrawal.mul_f64(LEASE_PART));
         self.lease_extended.notify_waiters();
--- a/crates/acaciabay/src/core/serving/mod.rs
+++ b/crates/acaciabay/src/core/serving/mod.rs
@@ -1,6 +1,6 @@
 //! Serving by host and path: what an operator configures as one numbered document, and what an entry knows of endpoints.
 //!
-//! * [`config`] is the configuration, [`config_index`] finds a call's route and customer in it; [`config_standing`] says
+//! * [`config`] is the configuration, [`config_index`] finds a call's route and customer in it; [`config_freshness`] says
 //!   whether it is the newest.
 //! * [`config_transfer`] hands configurations over a connection, [`renewal_ledger`] says when an entry asks.
 //! * [`endpoint_registry`] orders what endpoints say of themselves, whichever way and however late it arrives.
@@ -23,8 +23,8 @@
 
 pub mod answer_pace;
 pub mod config;
+pub mod config_freshness;
 pub mod config_index;
-pub mod config_standing;
 pub mod config_transfer;
 pub mod duty;
 pub mod endpoint_load;
--- /dev/null
+++ b/crates/acaciabay/tests/serving/config_freshness.rs
@@ -0,0 +1,42 @@
+//! When a call may be denied by the configuration that an entry holds.
+
+use std::time::Duration;
+
+use acaciabay::core::serving::config::ConfigNumber;
+use acaciabay::core::serving::config_freshness::ConfigFreshness;
+
+use crate::fixtures::at;
+
+const HELD: ConfigNumber = ConfigNumber(12);
+const IN_FORCE: Duration = Duration::from_secs(2);
+
+#[test]
+fn nothing_is_denied_before_the_first_confirmation() {
+    assert!(!ConfigFreshness::default().may_deny(at(0), HELD, IN_FORCE));
+}
+
+/// Guards against a 404 for a route that was added longer ago than a change may take.
+#[test]
+fn a_confirmation_lasts_less_than_a_change_may_take() {
+    let mut freshness = ConfigFreshness::default();
+    freshness.record_confirmed(at(1_000));
+    // An answer to an older question that comes later takes nothing back.
+    freshness.record_confirmed(at(400));
+
+    assert!(freshness.may_deny(at(2_499), HELD, IN_FORCE));
+    assert!(!freshness.may_deny(at(2_500), HELD, IN_FORCE));
+}
+
+/// Guards against a 404 by a configuration that the entry knows to be replaced.
+#[test]
+fn nothing_is_denied_by_a_configuration_that_is_known_to_be_old() {
+    let mut freshness = ConfigFreshness::default();
+    freshness.record_confirmed(at(1_000));
+
+    assert!(freshness.record_announced(at(1_010), ConfigNumber(15)));
+    assert!(!freshness.record_announced(at(1_020), ConfigNumber(15)));
+
+    assert!(!freshness.may_deny(at(1_030), HELD, IN_FORCE));
+    assert_eq!(freshness.behind_since(HELD), Some(at(1_010)));
+    assert!(freshness.may_deny(at(1_030), ConfigNumber(15), IN_FORCE));
+}
--- a/crates/acaciabay/tests/serving/main.rs
+++ b/crates/acaciabay/tests/serving/main.rs
@@ -3,6 +3,7 @@
 mod budget;
 mod clock;
 mod config;
+mod config_freshness;
 mod config_transfer;
 mod counts;
 mod events;
@@ -21,7 +22,6 @@
 mod replicas;
 mod silence;
 mod stages;
-mod standing;
 mod state;
 mod stopping;
 mod windows;
