--- a/crates/acacia-control/src/serving/pool_orders.rs
+++ b/crates/acacia-control/src/serving/pool_orders.rs
@@ -10,7 +10,7 @@
 use acaciabay::core::name::{DomainName, ServiceName};
 use acaciabay::core::serving::config::PoolSpec;
 use acaciabay::core::serving::endpoint_registry::EndpointPhase;
-use acaciabay::core::serving::given_order::GivenOrder;
+use acaciabay::core::serving::issued_order::IssuedOrder;
 use acaciabay::core::serving::reading_need::{ReadingMeasure, ReadingNeed};
 use acaciabay::ops::fill_gap::fill_gap;
 use acaciabay::ops::plan_pool::{DomainPool, PoolView, plan_pool, plan_pool_changes};
@@ -35,7 +35,7 @@
     next_plan: BootTime,
     needs: BTreeMap<ServiceName, ReadingNeed>,
     next_give_back: BootTime,
-    given: Arc<Mutex<BTreeMap<OrderKey, GivenOrder>>>,
+    given: Arc<Mutex<BTreeMap<OrderKey, IssuedOrder>>>,
 }
 
 impl PoolOrders {
@@ -125,7 +125,7 @@
         let mut given = self.given.lock();
         for ((_, domain, reclaimable), order) in given.iter_mut().filter(|((known, ..), _)| known == service) {
             let pool = present.get(domain).copied().unwrap_or_default();
-            order.note_present(if *reclaimable { pool.reclaimable } else { pool.lasting });
+            order.record_present(if *reclaimable { pool.reclaimable } else { pool.lasting });
         }
     }
 
@@ -133,7 +133,7 @@
     fn agreed(&self, service: &ServiceName) -> BTreeMap<DomainName, u32> {
         let given = self.given.lock();
         let own = given.iter().filter(|(key, _)| is_reclaimable_of(key, service));
-        own.filter_map(|((_, domain, _), order)| Some((domain.clone(), order.agreed()?)))
+        own.filter_map(|((_, domain, _), order)| Some((domain.clone(), order.accepted_count()?)))
             .collect()
     }
 
@@ -151,17 +151,17 @@
         {
             let mut given = self.given.lock();
             let before = given.get(&key);
-            if before.is_some_and(|before| before.is_open(turn.now, order.desired)) {
+            if before.is_some_and(|before| before.is_pending(turn.now, order.desired)) {
                 return false;
             }
-            let fresh = GivenOrder::give(turn.now, order.desired, pool.boot, before);
+            let fresh = IssuedOrder::issue(turn.now, order.desired, pool.boot, before);
             given.insert(key.clone(), fresh);
         }
         let (turn, given) = (turn.for_task(), Arc::clone(&self.given));
         tokio::spawn(async move {
             let is_accepted = turn.send_pool_order(&order).await;
             if let Some(given) = given.lock().get_mut(&key) {
-                given.hear_answer(boot_now(), is_accepted);
+                given.record_answer(boot_now(), is_accepted);
             }
         });
         true
--- a/crates/acaciabay/src/core/serving/mod.rs
+++ b/crates/acaciabay/src/core/serving/mod.rs
@@ -14,7 +14,7 @@
 //! * [`replica_board`] says which replicas an entry hears, and which it asks.
 //! * [`start_counts`] counts the calls that began, by window and customer.
 //! * [`reading_pace`] says how fast engines read, [`reading_need`] how many endpoints that takes.
-//! * [`given_order`] is what became of an order for endpoints.
+//! * [`issued_order`] is what became of an order for endpoints.
 //! * [`lease_recovery`] says what becomes of calls while an entry has no lease.
 //! * [`stop_phase`] says what an entry still takes that was asked to stop.
 //! * [`send_budget`] bounds second sends, [`duty`] numbers who acts for the system.
@@ -30,8 +30,8 @@
 pub mod endpoint_load;
 pub mod endpoint_registry;
 pub mod event_stream;
-pub mod given_order;
 pub mod group_clock;
+pub mod issued_order;
 pub mod kept_parts;
 pub mod lease_recovery;
 pub mod part_memory;
--- a/crates/acaciabay/tests/serving/given.rs
+++ b/crates/acaciabay/tests/serving/issued_order.rs
@@ -2,15 +2,15 @@
 
 use std::time::Duration;
 
-use acaciabay::core::serving::given_order::GivenOrder;
+use acaciabay::core::serving::issued_order::IssuedOrder;
 
 use crate::fixtures::at;
 
 const BOOT: Duration = Duration::from_secs(4);
 
-fn accepted(desired: u32) -> GivenOrder {
-    let mut order = GivenOrder::give(at(0), desired, BOOT, None);
-    order.hear_answer(at(100), true);
+fn accepted(desired: u32) -> IssuedOrder {
+    let mut order = IssuedOrder::issue(at(0), desired, BOOT, None);
+    order.record_answer(at(100), true);
     order
 }
 
@@ -19,14 +19,14 @@
 #[test]
 fn endpoints_that_came_and_went_are_ordered_again_at_once() {
     let mut order = accepted(5);
-    order.note_present(3);
-    let while_starting = order.is_open(at(4_000), 5);
+    order.record_present(3);
+    let while_starting = order.is_pending(at(4_000), 5);
 
-    order.note_present(5);
-    order.note_present(0);
+    order.record_present(5);
+    order.record_present(0);
 
     assert!(while_starting);
-    assert!(!order.is_open(at(6_000), 5));
+    assert!(!order.is_pending(at(6_000), 5));
 }
 
 /// An order is carried out late. Given again before it could have had its effect, it would be paid for twice over.
@@ -34,20 +34,20 @@
 fn an_order_is_not_repeated_while_it_may_still_have_its_effect() {
     let order = accepted(5);
 
-    assert!(order.is_open(at(9_000), 5));
-    assert!(!order.is_open(at(9_000), 6));
-    assert!(!order.is_open(at(10_000), 5));
+    assert!(order.is_pending(at(9_000), 5));
+    assert!(!order.is_pending(at(9_000), 6));
+    assert!(!order.is_pending(at(10_000), 5));
 }
 
 /// The platform has none to give. It is asked again after two seconds, and counts as refusing until it has agreed.
 #[test]
 fn a_refused_order_is_given_again_soon_and_counts_as_refused_meanwhile() {
-    let mut order = GivenOrder::give(at(0), 5, BOOT, None);
-    order.hear_answer(at(100), false);
-    let again = GivenOrder::give(at(2_200), 5, BOOT, Some(&order));
+    let mut order = IssuedOrder::issue(at(0), 5, BOOT, None);
+    order.record_answer(at(100), false);
+    let again = IssuedOrder::issue(at(2_200), 5, BOOT, Some(&order));
 
-    assert!(order.is_open(at(2_000), 5));
-    assert!(!order.is_open(at(2_200), 5));
-    assert_eq!((order.agreed(), again.agreed()), (None, None));
+    assert!(order.is_pending(at(2_000), 5));
+    assert!(!order.is_pending(at(2_200), 5));
+    assert_eq!((order.accepted_count(), again.accepted_count()), (None, None));
     assert!(order.is_refused() && again.is_refused());
 }
--- a/crates/acaciabay/tests/serving/main.rs
+++ b/crates/acaciabay/tests/serving/main.rs
@@ -8,7 +8,7 @@
 mod counts;
 mod events;
 mod fixtures;
-mod given;
+mod issued_order;
 mod keeping;
 mod leases;
 mod members;
