--- a/crates/acacia-entry/src/serving/control_sessions.rs
+++ b/crates/acacia-entry/src/serving/control_sessions.rs
@@ -259,7 +259,7 @@
                     self.ask_at_once();
                 }
                 Body::Resting(resting) => take_resting(&self.shared, &resting),
-                Body::Alive(sign) => self.shared.view().clock.hear(boot_now(), address, sign.wall_ms),
+                Body::Alive(sign) => self.shared.view().clock.record(boot_now(), address, sign.wall_ms),
                 Body::Renew(_) => return Err(std::io::ErrorKind::InvalidData.into()),
             }
         }
--- a/crates/acaciabay/src/core/serving/group_clock.rs
+++ b/crates/acaciabay/src/core/serving/group_clock.rs
@@ -9,32 +9,32 @@
 use crate::core::clock::BootTime;
 
 /// The fewest replicas whose middle is believed: of two that disagree, either may be wrong.
-const FEWEST: usize = 3;
+const MIN_REPLICAS: usize = 3;
 
 /// How far the wall clock of each replica is ahead of this host's boot clock.
 #[derive(Clone, Debug, Default)]
 pub struct GroupClock {
-    ahead_millis: BTreeMap<SocketAddr, i128>,
+    offsets_millis: BTreeMap<SocketAddr, i128>,
 }
 
 impl GroupClock {
     /// Notes what a replica's wall clock says at `now`.
-    pub fn hear(&mut self, now: BootTime, replica: SocketAddr, wall_millis: u64) {
-        let ahead = i128::from(wall_millis) - boot_millis(now);
-        self.ahead_millis.insert(replica, ahead);
+    pub fn record(&mut self, now: BootTime, replica: SocketAddr, wall_millis: u64) {
+        let offset = i128::from(wall_millis) - boot_millis(now);
+        self.offsets_millis.insert(replica, offset);
     }
 
     /// Forgets a replica that is no longer heard.
     pub fn forget(&mut self, replica: &SocketAddr) {
-        self.ahead_millis.remove(replica);
+        self.offsets_millis.remove(replica);
     }
 
     /// Returns the time that most replicas agree on, in milliseconds since 1970; nothing while too few are heard.
     pub fn wall_millis(&self, now: BootTime) -> Option<u64> {
-        if self.ahead_millis.len() < FEWEST {
+        if self.offsets_millis.len() < MIN_REPLICAS {
             return None;
         }
-        let mut sorted: Vec<i128> = self.ahead_millis.values().copied().collect();
+        let mut sorted: Vec<i128> = self.offsets_millis.values().copied().collect();
         sorted.sort_unstable();
         u64::try_from(boot_millis(now) + sorted[sorted.len() / 2]).ok()
     }
--- a/crates/acaciabay/tests/serving/clock.rs
+++ b/crates/acaciabay/tests/serving/clock.rs
@@ -16,10 +16,10 @@
 fn one_clock_that_jumps_changes_nothing() {
     let mut clock = GroupClock::default();
     for number in 1..=3 {
-        clock.hear(at(1_000), replica(number), 50_000);
+        clock.record(at(1_000), replica(number), 50_000);
     }
 
-    clock.hear(at(2_000), replica(1), 53_000);
+    clock.record(at(2_000), replica(1), 53_000);
 
     assert_eq!(clock.wall_millis(at(2_000)), Some(51_000));
 }
@@ -27,9 +27,9 @@
 #[test]
 fn two_clocks_that_disagree_are_not_believed() {
     let mut clock = GroupClock::default();
-    clock.hear(at(0), replica(1), 50_000);
-    clock.hear(at(0), replica(2), 52_000);
-    clock.hear(at(0), replica(3), 50_000);
+    clock.record(at(0), replica(1), 50_000);
+    clock.record(at(0), replica(2), 52_000);
+    clock.record(at(0), replica(3), 50_000);
 
     clock.forget(&replica(3));
 
