--- a/crates/acacia-entry/src/serving/config_intake.rs
+++ b/crates/acacia-entry/src/serving/config_intake.rs
@@ -11,7 +11,7 @@
 use acaciabay::core::serving::config::ConfigNumber;
 use acaciabay::core::serving::config_index::ConfigIndex;
 use acaciabay::core::serving::config_transfer::{ConfigDocument, ConfigReceiver};
-use acaciabay::core::serving::renewal_ledger::RenewalLedger;
+use acaciabay::core::serving::pending_renewals::PendingRenewals;
 use acaciabay::util::number::whole_millis;
 use prost::Message;
 
@@ -20,7 +20,7 @@
 /// What is open and known on one connection to a replica.
 #[derive(Debug, Default)]
 pub(super) struct ReplicaSession {
-    pub(super) renewals: RenewalLedger<ConfigDocument>,
+    pub(super) renewals: PendingRenewals<ConfigDocument>,
     taken: ConfigReceiver,
 }
 
@@ -48,7 +48,7 @@
         number: ConfigNumber,
         content: Option<serving_renewed::Content>,
     ) -> io::Result<ConfigArrival> {
-        let asked = self.renewals.answer(renewal);
+        let asked = self.renewals.complete(renewal);
         let asked = asked.ok_or_else(|| io::Error::other("answer to a renewal that is not open"))?;
         let bytes = content_bytes(content.as_ref());
         let content = content.map(content_from_wire).transpose();
@@ -57,7 +57,7 @@
             .receive(number, content.map_err(io::Error::other)?, &asked.held);
         Ok(ConfigArrival {
             config: taken.map_err(io::Error::other)?.clone(),
-            asked_at: asked.asked_at,
+            asked_at: asked.requested_at,
             arrived_at: now,
             bytes,
         })
--- a/crates/acacia-entry/src/serving/control_sessions.rs
+++ b/crates/acacia-entry/src/serving/control_sessions.rs
@@ -157,10 +157,10 @@
             let now = boot_now();
             self.doubt_late_leader(now, address, session);
             let should_ask = self.replicas.lock().should_ask(now, address);
-            if should_ask && session.lock().renewals.may_ask(now) {
+            if should_ask && session.lock().renewals.can_request(now) {
                 let held = self.shared.view().held.clone();
                 let config_number = held.number;
-                let number = session.lock().renewals.ask(now, held);
+                let number = session.lock().renewals.record_request(now, held);
                 self.log_ask(now, address, number);
                 writer.send(renewal_frame(&self.shared, number, config_number)).await?;
             }
@@ -185,7 +185,7 @@
         if self.replicas.lock().doubt(address) {
             slog::info!(self.shared.log, "leader does not answer"; "event" => event::CONTROL_LOST,
                 "replica" => %address, "asked" => overdue.number,
-                "waited_ms" => whole_millis(now.since(overdue.asked_at)));
+                "waited_ms" => whole_millis(now.since(overdue.requested_at)));
         }
     }
 
@@ -235,7 +235,7 @@
             match body {
                 Body::Renewed(renewed) => self.take_renewal(address, session, renewed)?,
                 Body::Elsewhere(elsewhere) => {
-                    session.lock().renewals.answer(elsewhere.request);
+                    session.lock().renewals.complete(elsewhere.request);
                     let named: Option<SocketAddr> = elsewhere.leader_address.parse().ok();
                     self.replicas.lock().hear_elsewhere(address, named);
                 }
--- a/crates/acaciabay/src/core/serving/mod.rs
+++ b/crates/acaciabay/src/core/serving/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! * [`config`] is the configuration, [`config_index`] finds a call's route and customer in it; [`config_freshness`] says
 //!   whether it is the newest.
-//! * [`config_transfer`] hands configurations over a connection, [`renewal_ledger`] says when an entry asks.
+//! * [`config_transfer`] hands configurations over a connection, [`pending_renewals`] says when an entry asks.
 //! * [`endpoint_registry`] orders what endpoints say of themselves, whichever way and however late it arrives.
 //! * [`prompt`] and [`part_memory`] say what a prompt consists of and which endpoint has read which part.
 //! * [`kept_parts`] tells all entries which engines keep which parts.
@@ -35,10 +35,10 @@
 pub mod kept_parts;
 pub mod lease_recovery;
 pub mod part_memory;
+pub mod pending_renewals;
 pub mod prompt;
 pub mod reading_need;
 pub mod reading_pace;
-pub mod renewal_ledger;
 pub mod replica_board;
 pub mod send_budget;
 pub mod serving_state;
--- a/crates/acaciabay/src/core/serving/renewal_ledger.rs
+++ b/crates/acaciabay/src/core/serving/pending_renewals.rs
@@ -12,63 +12,63 @@
 use crate::core::serving::replica_board::LEADER_PATIENCE;
 
 /// Most renewals that may be unanswered; an entry that has asked so often only listens.
-const MOST_OPEN: usize = 32;
+const MAX_PENDING: usize = 32;
 
 /// A renewal that was asked for; `H` is what the entry held at that moment.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct OpenRenewal<H> {
+pub struct PendingRenewal<H> {
     /// Identifies it on its session.
     pub number: u64,
     /// When it was asked for.
-    pub asked_at: BootTime,
+    pub requested_at: BootTime,
     /// What the entry held at that moment, which an answer without content confirms.
     pub held: H,
 }
 
 /// The renewals of one session that are not answered yet, the oldest first.
 #[derive(Clone, Debug)]
-pub struct RenewalLedger<H> {
+pub struct PendingRenewals<H> {
     last: u64,
-    open: VecDeque<OpenRenewal<H>>,
+    pending: VecDeque<PendingRenewal<H>>,
 }
 
-impl<H> Default for RenewalLedger<H> {
+impl<H> Default for PendingRenewals<H> {
     fn default() -> Self {
         Self {
             last: 0,
-            open: VecDeque::new(),
+            pending: VecDeque::new(),
         }
     }
 }
 
-impl<H> RenewalLedger<H> {
+impl<H> PendingRenewals<H> {
     /// Notes that a renewal is asked for, and returns its number.
-    pub fn ask(&mut self, now: BootTime, held: H) -> u64 {
+    pub fn record_request(&mut self, now: BootTime, held: H) -> u64 {
         self.last += 1;
-        self.open.push_back(OpenRenewal {
+        self.pending.push_back(PendingRenewal {
             number: self.last,
-            asked_at: now,
+            requested_at: now,
             held,
         });
         self.last
     }
 
     /// Takes the renewal that an answer belongs to. Older ones are not answered any more.
-    pub fn answer(&mut self, number: u64) -> Option<OpenRenewal<H>> {
-        let at = self.open.iter().position(|renewal| renewal.number == number)?;
-        self.open.drain(..at);
-        self.open.pop_front()
+    pub fn complete(&mut self, number: u64) -> Option<PendingRenewal<H>> {
+        let at = self.pending.iter().position(|renewal| renewal.number == number)?;
+        self.pending.drain(..at);
+        self.pending.pop_front()
     }
 
     /// Tells whether another renewal may be asked for: none waits, or the last one has waited for long enough.
-    pub fn may_ask(&self, now: BootTime) -> bool {
-        let last = self.open.back();
-        last.is_none_or(|last| now.since(last.asked_at) >= LEADER_PATIENCE && self.open.len() < MOST_OPEN)
+    pub fn can_request(&self, now: BootTime) -> bool {
+        let last = self.pending.back();
+        last.is_none_or(|last| now.since(last.requested_at) >= LEADER_PATIENCE && self.pending.len() < MAX_PENDING)
     }
 
     /// Returns the last renewal if it has waited for an answer longer than a leader takes.
-    pub fn overdue(&self, now: BootTime) -> Option<&OpenRenewal<H>> {
-        let last = self.open.back();
-        last.filter(|last| now.since(last.asked_at) >= LEADER_PATIENCE)
+    pub fn overdue(&self, now: BootTime) -> Option<&PendingRenewal<H>> {
+        let last = self.pending.back();
+        last.filter(|last| now.since(last.requested_at) >= LEADER_PATIENCE)
     }
 }
--- /dev/null
+++ b/crates/acaciabay/tests/serving/pending_renewals.rs
@@ -0,0 +1,67 @@
+//! Which renewals an entry asks for, and which answers count.
+
+use acaciabay::core::serving::pending_renewals::PendingRenewals;
+
+use crate::fixtures::at;
+
+/// Guards against answers that are dropped because they come after the next question.
+#[test]
+fn an_answer_to_an_older_question_counts_from_that_question() {
+    let mut renewals = PendingRenewals::default();
+    let first = renewals.record_request(at(0), "held at first");
+    let second = renewals.record_request(at(700), "held later");
+
+    let late = renewals.complete(first).expect("the first is open");
+    let next = renewals.complete(second).expect("the second is open");
+
+    assert_eq!((late.requested_at, late.held), (at(0), "held at first"));
+    assert_eq!((next.requested_at, next.held), (at(700), "held later"));
+}
+
+/// Guards against an answer that counts twice, and against one to a question that was passed over.
+#[test]
+fn a_question_is_answered_once_and_ends_those_before_it() {
+    let mut renewals = PendingRenewals::default();
+    let first = renewals.record_request(at(0), ());
+    let second = renewals.record_request(at(700), ());
+
+    assert!(renewals.complete(second).is_some());
+
+    assert_eq!(renewals.complete(first), None);
+    assert_eq!(renewals.complete(second), None);
+    assert_eq!(renewals.complete(99), None);
+}
+
+#[test]
+fn the_next_question_waits_for_the_last_but_not_for_ever() {
+    let mut renewals = PendingRenewals::default();
+    assert!(renewals.can_request(at(0)));
+
+    renewals.record_request(at(0), ());
+
+    assert!(!renewals.can_request(at(599)));
+    assert!(renewals.can_request(at(600)));
+    renewals.record_request(at(600), ());
+    assert!(!renewals.can_request(at(1_199)));
+    assert_eq!(renewals.overdue(at(1_199)), None);
+    assert_eq!(renewals.overdue(at(1_200)).map(|renewal| renewal.number), Some(2));
+}
+
+/// Guards against questions that pile up without bound at a replica that never answers.
+#[test]
+fn questions_without_answers_end() {
+    let mut renewals = PendingRenewals::default();
+    let mut asked = 0;
+
+    for second in 0..1_000 {
+        let now = at(second * 1_000);
+        if renewals.can_request(now) {
+            renewals.record_request(now, ());
+            asked += 1;
+        }
+    }
+
+    assert_eq!(asked, 32);
+    renewals.complete(1).expect("the first is open");
+    assert!(renewals.can_request(at(1_000_000)));
+}
