--- a/crates/acacia-entry/src/serving/control_sessions.rs
+++ b/crates/acacia-entry/src/serving/control_sessions.rs
@@ -1,7 +1,7 @@
 //! Sessions with the replicas of the control group: the lease, the configuration, the endpoints.
 //!
 //! The entry keeps a session with every replica that votes, since each tells what endpoints report to it. It asks the
-//! leader alone for its lease; while it does not know who leads, it asks all ([`ReplicaBoard`]).
+//! leader alone for its lease; while it does not know who leads, it asks all ([`ReplicaTracker`]).
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 use acaciabay::core::clock::BootTime;
 use acaciabay::core::name::EndpointName;
 use acaciabay::core::serving::config::ConfigNumber;
-use acaciabay::core::serving::replica_board::{LEADER_PATIENCE, ReplicaBoard};
+use acaciabay::core::serving::replica_tracker::{LEADER_TIMEOUT, ReplicaTracker};
 use acaciabay::util::number::whole_millis;
 use parking_lot::Mutex;
 use tokio::net::TcpStream;
@@ -47,7 +47,7 @@
     shared: Arc<EntryShared>,
     /// Identifies this start of the process.
     start: u64,
-    replicas: Mutex<ReplicaBoard>,
+    replicas: Mutex<ReplicaTracker>,
     /// Tells that a replica has said who votes.
     heard_voters: Notify,
     seeds: watch::Receiver<Vec<SocketAddr>>,
@@ -78,7 +78,7 @@
                 let keep = wanted.contains(address);
                 if !keep {
                     session.abort();
-                    self.replicas.lock().lose(*address);
+                    self.replicas.lock().mark_disconnected(*address);
                     self.shared.view().clock.forget(address);
                     slog::info!(self.shared.log, "session with a replica given up"; "event" => event::CONTROL_LOST,
                         "replica" => %address, "reason" => "no replica names it");
@@ -106,14 +106,14 @@
     fn wanted_replicas(&self, seeds: &[SocketAddr]) -> BTreeSet<SocketAddr> {
         let port = self.shared.settings.peer_port;
         let seeds = seeds.iter().map(|seed| SocketAddr::new(seed.ip(), port));
-        self.replicas.lock().wanted(seeds)
+        self.replicas.lock().session_targets(seeds)
     }
 
     async fn keep_session(self: Arc<Self>, address: SocketAddr) {
         let mut was_open = false;
         loop {
             let ended = self.use_session(address, &mut was_open).await;
-            self.replicas.lock().lose(address);
+            self.replicas.lock().mark_disconnected(address);
             self.shared.view().clock.forget(&address);
             if std::mem::take(&mut was_open) {
                 slog::warn!(self.shared.log, "session with a replica lost"; "event" => event::CONTROL_LOST,
@@ -182,7 +182,7 @@
         let Some(overdue) = session.renewals.overdue(now) else {
             return;
         };
-        if self.replicas.lock().doubt(address) {
+        if self.replicas.lock().clear_leader(address) {
             slog::info!(self.shared.log, "leader does not answer"; "event" => event::CONTROL_LOST,
                 "replica" => %address, "asked" => overdue.number,
                 "waited_ms" => whole_millis(now.since(overdue.requested_at)));
@@ -214,7 +214,7 @@
 
     fn log_late(&self, now: BootTime, address: SocketAddr, asked: u64, arrival: &ConfigArrival) {
         let took = now.since(arrival.asked_at);
-        if took >= LEADER_PATIENCE {
+        if took >= LEADER_TIMEOUT {
             metrics::counter!("acacia_renewals_late_total").increment(1);
             slog::info!(self.shared.log, "renewal answered late"; "event" => event::RENEWAL_LATE,
                 "asked" => asked, "took_ms" => whole_millis(took), "number" => arrival.config.number.0,
@@ -237,13 +237,13 @@
                 Body::Elsewhere(elsewhere) => {
                     session.lock().renewals.complete(elsewhere.request);
                     let named: Option<SocketAddr> = elsewhere.leader_address.parse().ok();
-                    self.replicas.lock().hear_elsewhere(address, named);
+                    self.replicas.lock().record_not_leader(address, named);
                 }
                 Body::News(news) => take_news(&self.shared, &news),
                 Body::Replicas(replicas) => {
                     let voters: BTreeSet<_> = replicas.addresses.iter().filter_map(|text| text.parse().ok()).collect();
                     if !voters.is_empty() {
-                        self.replicas.lock().hear_voters(address, voters);
+                        self.replicas.lock().record_voters(address, voters);
                         self.heard_voters.notify_one();
                     }
                 }
@@ -253,7 +253,7 @@
                     }
                 }
                 Body::Leads(_) => {
-                    self.replicas.lock().hear_leads(address);
+                    self.replicas.lock().record_leader_claim(address);
                     slog::info!(self.shared.log, "leader found"; "event" => event::CONTROL_FOUND,
                         "replica" => %address, "reason" => "it says that it leads");
                     self.ask_at_once();
@@ -284,7 +284,7 @@
         let number = ConfigNumber(renewed.config_number);
         let arrival = session.lock().take(now, renewed.request, number, renewed.content)?;
         self.log_late(now, address, renewed.request, &arrival);
-        self.replicas.lock().note_confirmed(now, address);
+        self.replicas.lock().record_confirmed(now, address);
         self.shared.install_config(&arrival)?;
         let mut view = self.shared.view();
         // A renewal that was overtaken by one from another replica confirms nothing that is newer.
--- a/crates/acaciabay/src/core/serving/mod.rs
+++ b/crates/acaciabay/src/core/serving/mod.rs
@@ -11,7 +11,7 @@
 //! * [`event_stream`] cuts an answer into whole events.
 //! * [`stream_peak`] remembers how many streams ran at once.
 //! * [`group_clock`] is the wall clock that most replicas agree on.
-//! * [`replica_board`] says which replicas an entry hears, and which it asks.
+//! * [`replica_tracker`] says which replicas an entry hears, and which it asks.
 //! * [`start_counts`] counts the calls that began, by window and customer.
 //! * [`reading_pace`] says how fast engines read, [`reading_need`] how many endpoints that takes.
 //! * [`issued_order`] is what became of an order for endpoints.
@@ -39,7 +39,7 @@
 pub mod prompt;
 pub mod reading_need;
 pub mod reading_pace;
-pub mod replica_board;
+pub mod replica_tracker;
 pub mod send_budget;
 pub mod serving_state;
 pub mod shared_suspicion;
--- a/crates/acaciabay/src/core/serving/pending_renewals.rs
+++ b/crates/acaciabay/src/core/serving/pending_renewals.rs
@@ -9,7 +9,7 @@
 use std::collections::VecDeque;
 
 use crate::core::clock::BootTime;
-use crate::core::serving::replica_board::LEADER_PATIENCE;
+use crate::core::serving::replica_tracker::LEADER_TIMEOUT;
 
 /// Most renewals that may be unanswered; an entry that has asked so often only listens.
 const MAX_PENDING: usize = 32;
@@ -63,12 +63,12 @@
     /// Tells whether another renewal may be asked for: none waits, or the last one has waited for long enough.
     pub fn can_request(&self, now: BootTime) -> bool {
         let last = self.pending.back();
-        last.is_none_or(|last| now.since(last.requested_at) >= LEADER_PATIENCE && self.pending.len() < MAX_PENDING)
+        last.is_none_or(|last| now.since(last.requested_at) >= LEADER_TIMEOUT && self.pending.len() < MAX_PENDING)
     }
 
     /// Returns the last renewal if it has waited for an answer longer than a leader takes.
     pub fn overdue(&self, now: BootTime) -> Option<&PendingRenewal<H>> {
         let last = self.pending.back();
-        last.filter(|last| now.since(last.requested_at) >= LEADER_PATIENCE)
+        last.filter(|last| now.since(last.requested_at) >= LEADER_TIMEOUT)
     }
 }
--- a/crates/acaciabay/tests/serving/main.rs
+++ b/crates/acaciabay/tests/serving/main.rs
@@ -19,7 +19,7 @@
 mod prompts;
 mod reading;
 mod registry;
-mod replicas;
+mod replica_tracker;
 mod silence;
 mod stages;
 mod state;
--- a/crates/acaciabay/tests/serving/replicas.rs
+++ b/crates/acaciabay/tests/serving/replica_tracker.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-use acaciabay::core::serving::replica_board::ReplicaBoard;
+use acaciabay::core::serving::replica_tracker::ReplicaTracker;
 
 use crate::fixtures::at;
 
@@ -20,37 +20,37 @@
 /// served nobody for 21 s.
 #[test]
 fn a_replica_that_is_behind_ends_no_session() {
-    let mut board = ReplicaBoard::default();
+    let mut tracker = ReplicaTracker::default();
 
-    board.hear_voters(replica(1), replicas(1..=5));
-    board.hear_voters(replica(2), replicas(1..=4));
+    tracker.record_voters(replica(1), replicas(1..=5));
+    tracker.record_voters(replica(2), replicas(1..=4));
 
-    assert_eq!(board.wanted([]), replicas(1..=5));
+    assert_eq!(tracker.session_targets([]), replicas(1..=5));
 }
 
 /// A host of the group was replaced. The entry need not try its old address for ever.
 #[test]
 fn a_replica_that_has_left_is_forgotten_once_nobody_names_it() {
-    let mut board = ReplicaBoard::default();
-    board.hear_voters(replica(1), replicas(1..=3));
-    board.hear_voters(replica(3), replicas(1..=3));
+    let mut tracker = ReplicaTracker::default();
+    tracker.record_voters(replica(1), replicas(1..=3));
+    tracker.record_voters(replica(3), replicas(1..=3));
 
-    board.lose(replica(3));
-    board.hear_voters(replica(1), replicas([1, 2, 4]));
+    tracker.mark_disconnected(replica(3));
+    tracker.record_voters(replica(1), replicas([1, 2, 4]));
 
-    assert_eq!(board.wanted([]), replicas([1, 2, 4]));
+    assert_eq!(tracker.session_targets([]), replicas([1, 2, 4]));
 }
 
 /// All sessions are cut for a while and the seeds have been exchanged for hosts that are down. The entry must find back to
 /// those that it knew.
 #[test]
 fn replicas_are_known_while_no_session_is_open() {
-    let mut board = ReplicaBoard::default();
-    board.hear_voters(replica(1), replicas(1..=3));
+    let mut tracker = ReplicaTracker::default();
+    tracker.record_voters(replica(1), replicas(1..=3));
 
-    board.lose(replica(1));
+    tracker.mark_disconnected(replica(1));
 
-    assert_eq!(board.wanted([replica(9)]), replicas([1, 2, 3, 9]));
+    assert_eq!(tracker.session_targets([replica(9)]), replicas([1, 2, 3, 9]));
 }
 
 /// Two replicas are cut off from the three others, and one of them goes on naming the other as the leader. An entry that
@@ -58,20 +58,20 @@
 /// callers would be refused for as long as the cut lasts.
 #[test]
 fn replicas_that_name_each_other_do_not_hide_the_leader() {
-    let mut board = ReplicaBoard::default();
-    board.note_confirmed(at(0), replica(1));
+    let mut tracker = ReplicaTracker::default();
+    tracker.record_confirmed(at(0), replica(1));
     let mut asked_leader_at = None;
 
     for tick in 0..12 {
         let now = tick * 250;
         // The old leader knows that it leads no more; its follower does not.
-        if board.should_ask(at(now + 10), replica(1)) {
-            board.hear_elsewhere(replica(1), None);
+        if tracker.should_ask(at(now + 10), replica(1)) {
+            tracker.record_not_leader(replica(1), None);
         }
-        if board.should_ask(at(now + 20), replica(2)) {
-            board.hear_elsewhere(replica(2), Some(replica(1)));
+        if tracker.should_ask(at(now + 20), replica(2)) {
+            tracker.record_not_leader(replica(2), Some(replica(1)));
         }
-        if asked_leader_at.is_none() && board.should_ask(at(now + 30), replica(3)) {
+        if asked_leader_at.is_none() && tracker.should_ask(at(now + 30), replica(3)) {
             asked_leader_at = Some(now);
         }
     }
@@ -82,10 +82,10 @@
 /// While the leader answers, the others are not asked: each question costs every replica time.
 #[test]
 fn only_the_leader_is_asked_while_it_answers() {
-    let mut board = ReplicaBoard::default();
+    let mut tracker = ReplicaTracker::default();
 
-    board.note_confirmed(at(0), replica(1));
+    tracker.record_confirmed(at(0), replica(1));
 
-    assert!(board.should_ask(at(250), replica(1)));
-    assert!(!board.should_ask(at(250), replica(2)));
+    assert!(tracker.should_ask(at(250), replica(1)));
+    assert!(!tracker.should_ask(at(250), replica(2)));
 }
