--- a/crates/acacia-entry/src/serving/shared.rs
+++ b/crates/acacia-entry/src/serving/shared.rs
@@ -22,7 +22,7 @@
 use acaciabay::core::serving::lease_recovery::LeaseOutage;
 use acaciabay::core::serving::prompt::PromptShape;
 use acaciabay::core::serving::reading_pace::{ReadingPace, ReadingTime};
-use acaciabay::core::serving::send_budget::{SendBound, SendBudget};
+use acaciabay::core::serving::retry_limiter::{RetryLimit, RetryLimiter};
 use acaciabay::core::serving::start_counts::{StartCounts, WindowNumber};
 use acaciabay::core::serving::stop_phase::StopPhase;
 use acaciabay::util::number::whole_millis;
@@ -75,7 +75,7 @@
     pub(super) demands: BTreeMap<ServiceName, DemandCount>,
     paces: BTreeMap<ServiceName, ReadingPace>,
     answer_paces: BTreeMap<ServiceName, AnswerPace>,
-    budgets: HashMap<ServiceName, SendBudget>,
+    budgets: HashMap<ServiceName, RetryLimiter>,
 }
 
 impl EntryView {
@@ -282,7 +282,10 @@
     pub(super) fn note_call(&self, now: BootTime, service: &ServiceName, prompt: Option<&PromptShape>) {
         let bound = self.bound();
         let mut view = self.view();
-        view.budgets.entry(service.clone()).or_default().note_call(now, &bound);
+        view.budgets
+            .entry(service.clone())
+            .or_default()
+            .record_call(now, &bound);
         let demand = view.demands.entry(service.clone()).or_default();
         demand.calls += 1;
         demand.output_tokens += prompt.map_or(0, |prompt| prompt.output_tokens);
@@ -294,16 +297,16 @@
         let mut view = self.view();
         let entries = view.entries;
         let budget = view.budgets.entry(service.clone()).or_default();
-        let granted = budget.spend(now, &bound, entries);
+        let granted = budget.try_acquire(now, &bound, entries);
         if !granted {
             metrics::counter!("acacia_send_budget_exhausted_total").increment(1);
         }
         granted
     }
 
-    fn bound(&self) -> SendBound {
+    fn bound(&self) -> RetryLimit {
         let bound = self.settings.send_bound;
-        SendBound {
+        RetryLimit {
             ratio: bound.ratio,
             slack: bound.slack,
             window: bound.window,
--- a/crates/acaciabay/src/core/serving/mod.rs
+++ b/crates/acaciabay/src/core/serving/mod.rs
@@ -17,7 +17,7 @@
 //! * [`issued_order`] is what became of an order for endpoints.
 //! * [`lease_recovery`] says what becomes of calls while an entry has no lease.
 //! * [`stop_phase`] says what an entry still takes that was asked to stop.
-//! * [`send_budget`] bounds second sends, [`duty`] numbers who acts for the system.
+//! * [`retry_limiter`] bounds second sends, [`duty`] numbers who acts for the system.
 //!
 //! `docs/design/machines.md` has the programs in which these parts meet.
 
@@ -40,7 +40,7 @@
 pub mod reading_need;
 pub mod reading_pace;
 pub mod replica_tracker;
-pub mod send_budget;
+pub mod retry_limiter;
 pub mod serving_state;
 pub mod shared_suspicion;
 pub mod start_counts;
--- a/crates/acaciabay/src/core/serving/send_budget.rs
+++ b/crates/acaciabay/src/core/serving/retry_limiter.rs
@@ -11,7 +11,7 @@
 
 /// The bound for one service over all entries.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct SendBound {
+pub struct RetryLimit {
     /// Second sends for each call.
     pub ratio: f64,
     /// Second sends beyond that.
@@ -21,19 +21,19 @@
 }
 
 /// How much of the bound is used: the rest covers calls that two clocks count into different windows.
-const USED_PART: f64 = 0.8;
+const USABLE_FRACTION: f64 = 0.8;
 
 /// What one entry has sent to one service within the window.
 #[derive(Clone, Debug, Default)]
-pub struct SendBudget {
+pub struct RetryLimiter {
     calls: VecDeque<BootTime>,
-    repeats: VecDeque<BootTime>,
+    retries: VecDeque<BootTime>,
 }
 
-impl SendBudget {
+impl RetryLimiter {
     /// Notes a caller's request.
-    pub fn note_call(&mut self, now: BootTime, bound: &SendBound) {
-        self.forget(now, bound);
+    pub fn record_call(&mut self, now: BootTime, limit: &RetryLimit) {
+        self.expire(now, limit);
         self.calls.push_back(now);
     }
 
@@ -41,19 +41,20 @@
     ///
     /// `entries` is how many entries may be sending at present. Counting too few of them would let all together exceed
     /// the slack.
-    pub fn spend(&mut self, now: BootTime, bound: &SendBound, entries: u32) -> bool {
-        self.forget(now, bound);
-        let allowed = USED_PART * (bound.ratio * self.calls.len() as f64 + bound.slack / f64::from(entries.max(1)));
-        if (self.repeats.len() + 1) as f64 > allowed {
+    pub fn try_acquire(&mut self, now: BootTime, limit: &RetryLimit, entries: u32) -> bool {
+        self.expire(now, limit);
+        let allowed =
+            USABLE_FRACTION * (limit.ratio * self.calls.len() as f64 + limit.slack / f64::from(entries.max(1)));
+        if (self.retries.len() + 1) as f64 > allowed {
             return false;
         }
-        self.repeats.push_back(now);
+        self.retries.push_back(now);
         true
     }
 
-    fn forget(&mut self, now: BootTime, bound: &SendBound) {
-        for times in [&mut self.calls, &mut self.repeats] {
-            while times.front().is_some_and(|first| now.since(*first) >= bound.window) {
+    fn expire(&mut self, now: BootTime, limit: &RetryLimit) {
+        for times in [&mut self.calls, &mut self.retries] {
+            while times.front().is_some_and(|first| now.since(*first) >= limit.window) {
                 times.pop_front();
             }
         }
--- a/crates/acaciabay/tests/serving/main.rs
+++ b/crates/acaciabay/tests/serving/main.rs
@@ -1,6 +1,5 @@
 //! Serving by host and path: each decision against what it has to come to, and against naive versions.
 
-mod budget;
 mod clock;
 mod config;
 mod config_freshness;
@@ -20,6 +19,7 @@
 mod reading;
 mod registry;
 mod replica_tracker;
+mod retry_limiter;
 mod silence;
 mod stages;
 mod state;
