--- a/crates/acacia-entry/src/serving/shared.rs
+++ b/crates/acacia-entry/src/serving/shared.rs
@@ -263,12 +263,12 @@
 
     /// Notes that the process was asked to stop.
     pub(super) fn ask_stop(&self, now: BootTime) {
-        self.stop_phase.lock().ask(now);
+        self.stop_phase.lock().request_stop(now);
     }
 
     /// Tells whether a new call is taken, as far as the process is not about to end.
     pub(super) fn takes_calls(&self, now: BootTime) -> bool {
-        self.stop_phase.lock().takes_calls(now)
+        self.stop_phase.lock().accepts_calls(now)
     }
 
     /// Tells whether callers should be sent here.
--- a/crates/acaciabay/tests/serving/stopping.rs
+++ b/crates/acaciabay/tests/serving/stopping.rs
@@ -10,10 +10,10 @@
 fn calls_are_refused_before_their_answers_would_be_cut() {
     let mut phase = StopPhase::default();
 
-    assert!(phase.takes_calls(at(60_000)));
-    phase.ask(at(60_000));
-    phase.ask(at(62_000));
+    assert!(phase.accepts_calls(at(60_000)));
+    phase.request_stop(at(60_000));
+    phase.request_stop(at(62_000));
 
-    assert!(phase.takes_calls(at(62_500)));
-    assert!(!phase.takes_calls(at(63_000)));
+    assert!(phase.accepts_calls(at(62_500)));
+    assert!(!phase.accepts_calls(at(63_000)));
 }
