--- a/crates/acacia-entry/src/serving/stream_body.rs
+++ b/crates/acacia-entry/src/serving/stream_body.rs
@@ -3,7 +3,7 @@
 use acacia_http::ResponseBody;
 use acacia_runtime::clock::boot_now;
 use acacia_runtime::event;
-use acaciabay::core::serving::event_stream::EventCutter;
+use acaciabay::core::serving::event_stream::EventSplitter;
 use acaciabay::util::number::whole_millis;
 use bytes::Bytes;
 use futures::stream;
@@ -51,7 +51,7 @@
     run: StreamRun,
     /// The engine that streams; nothing while another one is looked for.
     stream: Option<OpenStream>,
-    cutter: EventCutter,
+    cutter: EventSplitter,
     last_id: Option<u64>,
     events: usize,
 }
@@ -62,7 +62,7 @@
         last_id: run.call.head.resume_after,
         run,
         stream: Some(stream),
-        cutter: EventCutter::default(),
+        cutter: EventSplitter::default(),
         events: 0,
     };
     let frames = stream::unfold(Some(state), |state| async move {
@@ -104,7 +104,7 @@
                     self.note_events(events.count, events.last_id);
                     return Piece::Events(events.bytes);
                 }
-                Ok(None) => return Piece::Last(Bytes::copy_from_slice(self.cutter.rest())),
+                Ok(None) => return Piece::Last(Bytes::copy_from_slice(self.cutter.partial_event())),
                 Ok(Some(Err(error))) => {
                     if !self.go_on(&error.to_string()).await {
                         return Piece::Broken;
@@ -150,7 +150,7 @@
                 slog::info!(log, "stream resumed"; "event" => event::STREAM_RESUMED, "request" => request,
                     "endpoint" => stream.endpoint.as_str(), "after" => self.last_id);
                 self.stream = Some(stream);
-                self.cutter = EventCutter::default();
+                self.cutter = EventSplitter::default();
                 true
             }
             Ok(stream) => {
--- a/crates/acaciabay/src/core/serving/event_stream.rs
+++ b/crates/acaciabay/src/core/serving/event_stream.rs
@@ -6,7 +6,7 @@
 use bytes::{Bytes, BytesMut};
 
 /// What stands at the end of an event.
-const EVENT_END: &[u8] = b"\n\n";
+const EVENT_TERMINATOR: &[u8] = b"\n\n";
 /// The field that carries an event's number.
 const ID_FIELD: &[u8] = b"id:";
 
@@ -23,28 +23,28 @@
 
 /// Gathers bytes until events are whole.
 #[derive(Clone, Debug, Default)]
-pub struct EventCutter {
+pub struct EventSplitter {
     pending: BytesMut,
 }
 
-impl EventCutter {
+impl EventSplitter {
     /// Takes bytes and returns the events that are whole now.
     pub fn push(&mut self, bytes: &[u8]) -> WholeEvents {
         self.pending.extend_from_slice(bytes);
         let mut events = WholeEvents::default();
         let mut end = 0;
-        while let Some(length) = find(&self.pending[end..], EVENT_END) {
+        while let Some(length) = find(&self.pending[end..], EVENT_TERMINATOR) {
             let event = &self.pending[end..end + length];
             events.count += 1;
             events.last_id = event_id(event).or(events.last_id);
-            end += length + EVENT_END.len();
+            end += length + EVENT_TERMINATOR.len();
         }
         events.bytes = self.pending.split_to(end).freeze();
         events
     }
 
     /// Returns what is left of an event that has not ended.
-    pub fn rest(&self) -> &[u8] {
+    pub fn partial_event(&self) -> &[u8] {
         &self.pending
     }
 }
--- a/crates/acaciabay/tests/serving/events.rs
+++ b/crates/acaciabay/tests/serving/events.rs
@@ -1,6 +1,6 @@
 //! Cutting streams into whole events.
 
-use acaciabay::core::serving::event_stream::EventCutter;
+use acaciabay::core::serving::event_stream::EventSplitter;
 use proptest::prelude::*;
 
 use crate::fixtures::fixed_cases;
@@ -14,20 +14,20 @@
 /// when another engine goes on.
 #[test]
 fn a_half_event_stays_behind() {
-    let mut cutter = EventCutter::default();
+    let mut splitter = EventSplitter::default();
 
-    let events = cutter.push(b"id: 1\ndata: a\n\nid: 2\nda");
+    let events = splitter.push(b"id: 1\ndata: a\n\nid: 2\nda");
 
     assert_eq!(events.bytes.as_ref(), b"id: 1\ndata: a\n\n");
     assert_eq!((events.count, events.last_id), (1, Some(1)));
-    assert_eq!(cutter.rest(), b"id: 2\nda");
+    assert_eq!(splitter.partial_event(), b"id: 2\nda");
 }
 
 #[test]
 fn an_event_without_a_number_keeps_the_one_before() {
-    let mut cutter = EventCutter::default();
+    let mut splitter = EventSplitter::default();
 
-    let events = cutter.push(b"id: 7\ndata: a\n\ndata: b\n\n");
+    let events = splitter.push(b"id: 7\ndata: a\n\ndata: b\n\n");
 
     assert_eq!((events.count, events.last_id), (2, Some(7)));
 }
@@ -39,12 +39,12 @@
     #[test]
     fn any_cuts_give_the_same_events(count in 0_u64..20, cuts in prop::collection::vec(1_usize..40, 0..60)) {
         let whole = stream(count);
-        let mut cutter = EventCutter::default();
+        let mut splitter = EventSplitter::default();
         let (mut passed, mut events, mut last_id, mut place) = (Vec::new(), 0, None, 0);
         let mut lengths = cuts.into_iter();
         while place < whole.len() {
             let end = (place + lengths.next().unwrap_or(usize::MAX / 2)).min(whole.len());
-            let cut = cutter.push(&whole[place..end]);
+            let cut = splitter.push(&whole[place..end]);
             prop_assert!(cut.bytes.is_empty() || cut.bytes.ends_with(b"\n\n"));
             passed.extend_from_slice(&cut.bytes);
             events += cut.count;
@@ -54,6 +54,6 @@
         prop_assert_eq!(passed, whole);
         prop_assert_eq!(events as u64, count);
         prop_assert_eq!(last_id, (count > 0).then_some(count));
-        prop_assert!(cutter.rest().is_empty());
+        prop_assert!(splitter.partial_event().is_empty());
     }
 }
