--- a/crates/acacia-entry/src/serving/call.rs
+++ b/crates/acacia-entry/src/serving/call.rs
@@ -103,7 +103,7 @@
         return;
     };
     let until = head.patience.map(|patience| received_at + patience);
-    let Some(hold) = until.and_then(|until| shared.lease_outage().hold(received_at, until)) else {
+    let Some(hold) = until.and_then(|until| shared.lease_outage().hold_time(received_at, until)) else {
         return;
     };
     metrics::counter!("acacia_calls_held_total").increment(1);
--- a/crates/acaciabay/tests/serving/leases.rs
+++ b/crates/acaciabay/tests/serving/leases.rs
@@ -12,8 +12,14 @@
 fn a_call_is_held_for_the_first_lease() {
     let outage = LeaseOutage::SinceStart(at(10_000));
 
-    assert_eq!(outage.hold(at(10_200), at(11_400)), Some(Duration::from_millis(1_050)));
-    assert_eq!(outage.hold(at(10_200), at(14_200)), Some(Duration::from_millis(2_300)));
+    assert_eq!(
+        outage.hold_time(at(10_200), at(11_400)),
+        Some(Duration::from_millis(1_050))
+    );
+    assert_eq!(
+        outage.hold_time(at(10_200), at(14_200)),
+        Some(Duration::from_millis(2_300))
+    );
 }
 
 /// Its caller leaves before an endpoint could answer. Held all the same, it would learn of it too late to do anything else.
@@ -21,7 +27,7 @@
 fn a_call_without_the_time_for_an_answer_is_refused_at_once() {
     let outage = LeaseOutage::SinceStart(at(10_000));
 
-    assert_eq!(outage.hold(at(10_200), at(10_340)), None);
+    assert_eq!(outage.hold_time(at(10_200), at(10_340)), None);
 }
 
 /// The group has no leader long after the start, or the entry lost its lease while it ran: nobody knows how long that
@@ -31,8 +37,8 @@
     let late = LeaseOutage::SinceStart(at(10_000));
     let lost = LeaseOutage::SinceEnd(at(10_000));
 
-    assert_eq!(late.hold(at(12_500), at(16_500)), None);
-    assert_eq!(lost.hold(at(10_100), at(14_100)), None);
+    assert_eq!(late.hold_time(at(12_500), at(16_500)), None);
+    assert_eq!(lost.hold_time(at(10_100), at(14_100)), None);
 }
 
 /// A caller that is told to come back too soon finds the entry as it left it.
