--- a/crates/acacia-control/src/serving/renewals.rs
+++ b/crates/acacia-control/src/serving/renewals.rs
@@ -147,7 +147,7 @@
         let state = hub.group.read();
         starts
             .into_iter()
-            .filter(|row| state.serving.gathered.is_news(row))
+            .filter(|row| state.serving.gathered.has_new_counts(row))
             .collect()
     };
     let mut soft = hub.soft();
--- a/crates/acacia-entry/src/serving/shared.rs
+++ b/crates/acacia-entry/src/serving/shared.rs
@@ -325,7 +325,7 @@
         let window = WindowNumber::at(wall_millis, length);
         view.starts.count(window, customer);
         view.starts
-            .forget_before(WindowNumber(window.0.saturating_sub(KEPT_WINDOWS)));
+            .remove_before(WindowNumber(window.0.saturating_sub(KEPT_WINDOWS)));
     }
 
     /// Adds work to an endpoint until the guard is dropped.
--- a/crates/acacia-wire/src/serving_message.rs
+++ b/crates/acacia-wire/src/serving_message.rs
@@ -230,7 +230,7 @@
 pub(crate) fn serving_state_from_wire(message: state::ServingState) -> Result<ServingState, WireError> {
     let mut gathered = GatheredCounts::default();
     for row in message.gathered {
-        gathered.report(&gathered_from_wire(row)?);
+        gathered.merge(&gathered_from_wire(row)?);
     }
     let holder = (!message.holder.is_empty()).then(|| message.holder.as_str().into());
     Ok(ServingState {
--- a/crates/acaciabay/src/core/serving/serving_state.rs
+++ b/crates/acaciabay/src/core/serving/serving_state.rs
@@ -83,7 +83,7 @@
             ServingCommand::AssumeDuties { holder } => ServingOutcome::Fence(self.duties.assume(holder)),
             ServingCommand::GatherStarts { rows } => {
                 for row in rows.iter().filter(|row| row.window > self.last_sealed) {
-                    self.gathered.report(row);
+                    self.gathered.merge(row);
                 }
                 ServingOutcome::Done
             }
@@ -91,8 +91,8 @@
                 // The first counts stand: a second report of the same window with others would be billed twice.
                 if *window > self.last_sealed {
                     self.last_sealed = *window;
-                    self.sealed.insert(*window, self.gathered.sums(*window));
-                    self.gathered.forget_up_to(*window);
+                    self.sealed.insert(*window, self.gathered.totals(*window));
+                    self.gathered.remove_through(*window);
                 }
                 ServingOutcome::Done
             }
--- a/crates/acaciabay/src/core/serving/start_counts.rs
+++ b/crates/acaciabay/src/core/serving/start_counts.rs
@@ -40,7 +40,7 @@
     }
 
     /// Forgets windows before this one.
-    pub fn forget_before(&mut self, window: WindowNumber) {
+    pub fn remove_before(&mut self, window: WindowNumber) {
         self.windows = self.windows.split_off(&window);
     }
 }
@@ -68,7 +68,7 @@
 
 impl GatheredCounts {
     /// Takes a report; a lower count than one held is an old report.
-    pub fn report(&mut self, row: &GatheredRow) {
+    pub fn merge(&mut self, row: &GatheredRow) {
         let held = self
             .windows
             .entry(row.window)
@@ -82,7 +82,7 @@
     }
 
     /// Tells whether a report says more than what is held.
-    pub fn is_news(&self, row: &GatheredRow) -> bool {
+    pub fn has_new_counts(&self, row: &GatheredRow) -> bool {
         let held = self
             .windows
             .get(&row.window)
@@ -92,14 +92,14 @@
     }
 
     /// Returns the sums of a window.
-    pub fn sums(&self, window: WindowNumber) -> CustomerCounts {
-        let mut sums = CustomerCounts::new();
+    pub fn totals(&self, window: WindowNumber) -> CustomerCounts {
+        let mut totals = CustomerCounts::new();
         for counts in self.windows.get(&window).into_iter().flat_map(BTreeMap::values) {
             for (customer, count) in counts {
-                *sums.entry(customer.clone()).or_default() += count;
+                *totals.entry(customer.clone()).or_default() += count;
             }
         }
-        sums
+        totals
     }
 
     /// Returns all rows.
@@ -114,7 +114,7 @@
     }
 
     /// Forgets a window and those before it.
-    pub fn forget_up_to(&mut self, window: WindowNumber) {
+    pub fn remove_through(&mut self, window: WindowNumber) {
         self.windows.retain(|known, _| *known > window);
     }
 }
--- a/crates/acaciabay/tests/serving/counts.rs
+++ b/crates/acaciabay/tests/serving/counts.rs
@@ -22,10 +22,10 @@
 fn counts_of_two_entries_add_up() {
     let mut gathered = GatheredCounts::default();
 
-    gathered.report(&row(1, 9, "c", 5));
-    gathered.report(&row(2, 9, "c", 7));
+    gathered.merge(&row(1, 9, "c", 5));
+    gathered.merge(&row(2, 9, "c", 7));
 
-    assert_eq!(gathered.sums(WindowNumber(9)), BTreeMap::from([("c".into(), 12)]));
+    assert_eq!(gathered.totals(WindowNumber(9)), BTreeMap::from([("c".into(), 12)]));
 }
 
 #[test]
@@ -40,7 +40,7 @@
     starts.count(WindowNumber(1), &"c".into());
     starts.count(WindowNumber(5), &"c".into());
 
-    starts.forget_before(WindowNumber(2));
+    starts.remove_before(WindowNumber(2));
 
     assert_eq!(
         starts.windows().map(|(window, _)| window).collect::<Vec<_>>(),
@@ -60,12 +60,12 @@
         for (entry, count) in reports {
             let report = row(entry, 4, "c", count);
             let held = highest.entry(entry).or_default();
-            prop_assert_eq!(gathered.is_news(&report), count > *held);
-            gathered.report(&report);
+            prop_assert_eq!(gathered.has_new_counts(&report), count > *held);
+            gathered.merge(&report);
             *held = (*held).max(count);
         }
         let expected: u64 = highest.values().sum();
-        let sums = gathered.sums(WindowNumber(4));
-        prop_assert_eq!(sums.values().sum::<u64>(), expected);
+        let totals = gathered.totals(WindowNumber(4));
+        prop_assert_eq!(totals.values().sum::<u64>(), expected);
     }
 }
