--- a/crates/acacia-entry/src/serving/shared.rs
+++ b/crates/acacia-entry/src/serving/shared.rs
@@ -12,9 +12,9 @@
 use acaciabay::core::name::{CustomerName, DomainName, EndpointName, ServiceName};
 use acaciabay::core::serving::answer_pace::AnswerPace;
 use acaciabay::core::serving::config::EngineSpec;
-use acaciabay::core::serving::config_chain::HeldConfig;
+use acaciabay::core::serving::config_freshness::ConfigFreshness;
 use acaciabay::core::serving::config_index::ConfigIndex;
-use acaciabay::core::serving::config_standing::ConfigStanding;
+use acaciabay::core::serving::config_transfer::ConfigDocument;
 use acaciabay::core::serving::endpoint_load::{EndpointWork, LoadTable};
 use acaciabay::core::serving::endpoint_registry::EndpointRegistry;
 use acaciabay::core::serving::group_clock::GroupClock;
@@ -22,7 +22,7 @@
 use acaciabay::core::serving::lease_recovery::LeaseOutage;
 use acaciabay::core::serving::prompt::PromptShape;
 use acaciabay::core::serving::reading_pace::{ReadingPace, ReadingTime};
-use acaciabay::core::serving::send_budget::{SendBound, SendBudget};
+use acaciabay::core::serving::retry_limiter::{RetryLimit, RetryLimiter};
 use acaciabay::core::serving::start_counts::{StartCounts, WindowNumber};
 use acaciabay::core::serving::stop_phase::StopPhase;
 use acaciabay::util::number::whole_millis;
@@ -61,8 +61,8 @@
 pub(super) struct EntryView {
     pub(super) index: Option<Arc<ConfigIndex>>,
     /// The configuration that `index` was made of.
-    pub(super) held: HeldConfig,
-    pub(super) standing: ConfigStanding,
+    pub(super) held: ConfigDocument,
+    pub(super) standing: ConfigFreshness,
     pub(super) registry: EndpointRegistry,
     /// Whether a replica has told all endpoints that it knows.
     pub(super) heard_endpoints: bool,
@@ -75,7 +75,7 @@
     pub(super) demands: BTreeMap<ServiceName, DemandCount>,
     paces: BTreeMap<ServiceName, ReadingPace>,
     answer_paces: BTreeMap<ServiceName, AnswerPace>,
-    budgets: HashMap<ServiceName, SendBudget>,
+    budgets: HashMap<ServiceName, RetryLimiter>,
 }
 
 impl EntryView {
@@ -255,7 +255,7 @@
 
     /// Extends the lease by a confirmation that was asked for at `asked_at`.
     pub(super) fn confirm_lease(&self, asked_at: BootTime) {
-        self.view().standing.confirm(asked_at);
+        self.view().standing.record_confirmed(asked_at);
         self.lease
             .extend(asked_at + self.settings.key_withdrawal.mul_f64(LEASE_PART));
         self.lease_extended.notify_waiters();
@@ -263,12 +263,12 @@
 
     /// Notes that the process was asked to stop.
     pub(super) fn ask_stop(&self, now: BootTime) {
-        self.stop_phase.lock().ask(now);
+        self.stop_phase.lock().request_stop(now);
     }
 
     /// Tells whether a new call is taken, as far as the process is not about to end.
     pub(super) fn takes_calls(&self, now: BootTime) -> bool {
-        self.stop_phase.lock().takes_calls(now)
+        self.stop_phase.lock().accepts_calls(now)
     }
 
     /// Tells whether callers should be sent here.
@@ -282,7 +282,10 @@
     pub(super) fn note_call(&self, now: BootTime, service: &ServiceName, prompt: Option<&PromptShape>) {
         let bound = self.bound();
         let mut view = self.view();
-        view.budgets.entry(service.clone()).or_default().note_call(now, &bound);
+        view.budgets
+            .entry(service.clone())
+            .or_default()
+            .record_call(now, &bound);
         let demand = view.demands.entry(service.clone()).or_default();
         demand.calls += 1;
         demand.output_tokens += prompt.map_or(0, |prompt| prompt.output_tokens);
@@ -294,16 +297,16 @@
         let mut view = self.view();
         let entries = view.entries;
         let budget = view.budgets.entry(service.clone()).or_default();
-        let granted = budget.spend(now, &bound, entries);
+        let granted = budget.try_acquire(now, &bound, entries);
         if !granted {
             metrics::counter!("acacia_send_budget_exhausted_total").increment(1);
         }
         granted
     }
 
-    fn bound(&self) -> SendBound {
+    fn bound(&self) -> RetryLimit {
         let bound = self.settings.send_bound;
-        SendBound {
+        RetryLimit {
             ratio: bound.ratio,
             slack: bound.slack,
             window: bound.window,
@@ -322,7 +325,7 @@
         let window = WindowNumber::at(wall_millis, length);
         view.starts.count(window, customer);
         view.starts
-            .forget_before(WindowNumber(window.0.saturating_sub(KEPT_WINDOWS)));
+            .remove_before(WindowNumber(window.0.saturating_sub(KEPT_WINDOWS)));
     }
 
     /// Adds work to an endpoint until the guard is dropped.
--- a/crates/acaciabay/tests/serving/main.rs
+++ b/crates/acaciabay/tests/serving/main.rs
@@ -1,27 +1,27 @@
 //! Serving by host and path: each decision against what it has to come to, and against naive versions.
 
-mod budget;
-mod chain;
 mod clock;
 mod config;
+mod config_freshness;
+mod config_transfer;
 mod counts;
 mod events;
 mod fixtures;
-mod given;
+mod issued_order;
 mod keeping;
 mod leases;
 mod members;
 mod paces;
+mod pending_renewals;
 mod placement;
 mod pools;
 mod prompts;
 mod reading;
 mod registry;
-mod renewals;
-mod replicas;
+mod replica_tracker;
+mod retry_limiter;
 mod silence;
 mod stages;
-mod standing;
 mod state;
 mod stopping;
 mod windows;
