--- a/crates/acaciabay/src/core/serving/shared_suspicion.rs
+++ b/crates/acaciabay/src/core/serving/shared_suspicion.rs
@@ -1,13 +1,15 @@
-//! Which endpoints all entries leave out because some of them have found them silent.
+//! Aggregation of the entries' suspicions: an endpoint that several failure domains find silent is avoided by all
+//! entries.
 //!
-//! With hundreds of entries each one sends an endpoint a call every few seconds. Had each to find out by itself that it is
-//! dead, a dead endpoint would take hundreds of calls with it.
+//! With hundreds of entries, each one sends a given endpoint a call only every few seconds. If every entry had to
+//! detect a dead endpoint by itself, hundreds of calls would be lost.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::core::name::{DomainName, EndpointName};
 
-/// From how many failure domains an endpoint has to be found silent. Seen from one alone it may be the network between.
+/// Minimum number of failure domains that must find an endpoint silent. If only one does, the network between them may
+/// be at fault.
 const LEAST_DOMAINS: usize = 2;
 
 /// Returns the endpoints that entries in several failure domains suspect.
--- a/crates/acaciabay/tests/serving/silence.rs
+++ b/crates/acaciabay/tests/serving/silence.rs
@@ -1,4 +1,4 @@
-//! When an endpoint is taken for dead, and who is told.
+//! Tests of the detection of silent endpoints and of sharing suspicions among entries.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,7 +15,8 @@
     shared_suspicions(rows).into_iter().cloned().collect()
 }
 
-/// An engine dies without a word. Of two hundred entries each would lose a call to it before it left the engine out.
+/// Guards against every entry losing a call to a dead engine before it avoids the engine: with two hundred entries,
+/// that is two hundred calls.
 #[test]
 fn an_engine_that_two_domains_find_silent_is_left_out_by_all() {
     let domains = domains(&["a", "b"]);
@@ -26,13 +27,14 @@
 
     assert!(other.is_suspected(at(0), &name("e")));
     assert!(!other.is_suspected(at(0), &name("f")));
-    // Others' word ends when they have no more doubt, and is not passed on as this entry's own.
+    // A shared suspicion ends when the other entries withdraw it, and this entry does not report it as its own.
     assert_eq!(other.silent_endpoints(at(0)).count(), 0);
     other.hear_silent([]);
     assert!(!other.is_suspected(at(0), &name("e")));
 }
 
-/// The way between two failure domains is cut. Entries of one find all engines of the other silent, which are well.
+/// When the network between two failure domains is cut, entries of one find all engines of the other silent although
+/// the engines are healthy. The other entries must not avoid them.
 #[test]
 fn what_one_domain_finds_silent_is_its_own_affair() {
     let domains = domains(&["a"]);
@@ -41,8 +43,8 @@
     assert!(shared(&suspicions).is_empty());
 }
 
-/// An engine is silent for three seconds, with answers usually there in a twentieth of one. A call that it takes is lost
-/// for as long as it is waited for.
+/// The suspicion timeout follows the usual time to first answer. An engine that is silent for three seconds where
+/// answers usually begin within 50 ms must be suspected early, since its call is stuck until then.
 #[test]
 fn silence_is_measured_by_what_is_usual() {
     let mut pace = AnswerPace::default();
@@ -53,14 +55,14 @@
     }
     assert_eq!(pace.doubt_after(), Some(Duration::from_millis(400)));
 
-    // Under load all engines are slow, and none of them is dead.
+    // Under load all engines are slow, which must not make them suspect.
     for _ in 0..200 {
         pace.note(Duration::from_millis(900));
     }
     assert!(pace.doubt_after() > Some(Duration::from_millis(1_800)));
 }
 
-/// The engine answers after all. Left out for longer, it would be missed.
+/// A suspected engine that answers after all is used again at once, so that its capacity is not lost.
 #[test]
 fn an_answer_ends_the_doubt() {
     let mut loads = LoadTable::default();
