--- a/crates/acaciabay/src/core/serving/endpoint_load.rs
+++ b/crates/acaciabay/src/core/serving/endpoint_load.rs
@@ -1,7 +1,7 @@
-//! The work that endpoints have before them, as one entry sees it.
+//! Outstanding work and health of each endpoint, as seen by one entry.
 //!
-//! What the entry has sent itself it knows exactly. What other entries have sent it hears from the control group a few
-//! times a second. Reports of the endpoints themselves would come later than both.
+//! The entry knows its own outstanding work exactly. The control group tells it the work of the other entries a few
+//! times a second. The endpoints' own reports would arrive later than both.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -13,19 +13,19 @@
 use crate::core::clock::BootTime;
 use crate::core::name::EndpointName;
 
-/// Work at one endpoint.
+/// Outstanding work at one endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EndpointWork {
-    /// Tokens of prompts that are still to be read.
+    /// Prompt tokens that are still to be prefilled.
     pub unread_tokens: u64,
-    /// Calls that run or wait.
+    /// Calls that are running or queued.
     pub calls: u64,
-    /// Tokens of prompts and answers that running calls hold in memory.
+    /// Prompt and output tokens that running calls hold in KV memory.
     pub held_tokens: u64,
 }
 
 impl EndpointWork {
-    /// Returns both together.
+    /// Returns the sum of both.
     #[must_use]
     pub const fn plus(self, other: Self) -> Self {
         Self {
@@ -44,26 +44,26 @@
     }
 }
 
-/// How long an endpoint that has failed in a way that speaks against it is used only if there is no other, the first
-/// time; each further failure doubles it.
+/// Time for which an endpoint is suspected after its first failure. Each further failure doubles it. A suspected
+/// endpoint is used only if there is no other.
 const FIRST_SUSPICION: Duration = Duration::from_millis(300);
-/// How long an endpoint that was silent is suspected at least: until other entries have heard of it.
+/// Minimum time for which a silent endpoint is suspected: long enough for other entries to hear of it.
 const SILENT_SUSPICION: Duration = Duration::from_secs(1);
-/// The longest suspicion: an endpoint that is well again is found out within this time.
+/// Maximum time for which an endpoint is suspected. A recovered endpoint is noticed within this time.
 const LONGEST_SUSPICION: Duration = Duration::from_secs(3);
-/// How many milliseconds an engine takes for a token of a prompt until it was measured, the middle of current engines.
+/// Assumed prefill time per token, in milliseconds, of an engine without measurements: the middle of current engines.
 const FIRST_PACE: f64 = 0.02;
-/// How much one measurement moves the pace.
+/// Weight of a new measurement in the moving average of the pace.
 const PACE_STEP: f64 = 0.1;
 
-/// An order that an engine is carrying out.
+/// A change of stage that an engine has been ordered to make and has not yet completed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RestingOrder {
-    /// Which start of the engine it was given to.
+    /// The incarnation of the engine that received the order.
     pub birth: EndpointBirth,
-    /// What the engine reports once it is done.
+    /// The stage that the engine reports once the change is complete.
     pub stage: EngineStage,
-    /// When it is done at the latest.
+    /// Time after which the change counts as complete even without a report.
     pub until: BootTime,
 }
 
@@ -74,22 +74,23 @@
     memory: PartMemory,
     failures: u32,
     suspected_until: BootTime,
-    /// Until when the entry takes the endpoint for dead because it was silent, or could not be reached.
+    /// End of the period in which this entry reports the endpoint as silent, because it did not answer or could not be
+    /// reached.
     silent_until: BootTime,
-    /// Whether other entries have found it silent.
+    /// Set while the control group reports that other entries find the endpoint silent.
     is_silent_to_others: bool,
     resting: Option<RestingOrder>,
     pace: Option<f64>,
 }
 
-/// The load of all endpoints that this entry has dealt with.
+/// Load and health of all endpoints that this entry has used or been told of.
 #[derive(Clone, Debug, Default)]
 pub struct LoadTable {
     rows: HashMap<EndpointName, LoadRow>,
 }
 
 impl LoadTable {
-    /// Returns the work at an endpoint.
+    /// Returns the outstanding work of all entries at an endpoint.
     pub fn work(&self, name: &EndpointName) -> EndpointWork {
         self.rows
             .get(name)
@@ -97,25 +98,25 @@
             .unwrap_or_default()
     }
 
-    /// Returns what this entry itself has at each endpoint.
+    /// Returns the outstanding work of this entry, for each endpoint that has any.
     pub fn own_work(&self) -> impl Iterator<Item = (&EndpointName, EndpointWork)> {
         let rows = self.rows.iter().map(|(name, row)| (name, row.own));
         rows.filter(|(_, work)| *work != EndpointWork::default())
     }
 
-    /// Adds work that this entry has sent.
+    /// Adds work that this entry has sent to an endpoint.
     pub fn begin(&mut self, name: &EndpointName, work: EndpointWork) {
         let row = self.row(name);
         row.own = row.own.plus(work);
     }
 
-    /// Takes away work that is done or given up.
+    /// Subtracts work that has ended or been abandoned.
     pub fn end(&mut self, name: &EndpointName, work: EndpointWork) {
         let row = self.row(name);
         row.own = row.own.minus(work);
     }
 
-    /// Takes over what the other entries have at the endpoints.
+    /// Replaces the outstanding work of the other entries.
     pub fn hear_others(&mut self, works: impl IntoIterator<Item = (EndpointName, EndpointWork)>) {
         for row in self.rows.values_mut() {
             row.others = EndpointWork::default();
@@ -125,17 +126,18 @@
         }
     }
 
-    /// Returns how many tokens at the start of a prompt the endpoint is believed to keep.
+    /// Returns the length, in tokens, of the prompt prefix that the endpoint is believed to have cached.
     pub fn kept_tokens(&self, name: &EndpointName, parts: &[PromptPart]) -> u64 {
         self.rows.get(name).map_or(0, |row| row.memory.kept_tokens(parts))
     }
 
-    /// Notes that the endpoint has read these parts.
+    /// Records that the endpoint has prefilled these parts. `capacity` is the size of its memory in tokens.
     pub fn note_read(&mut self, name: &EndpointName, parts: &[PromptPart], capacity: u64) {
         self.row(name).memory.note_read(parts, capacity);
     }
 
-    /// Notes how long an endpoint took for a prompt. `usual` is the pace of its service, if that is known.
+    /// Records how long an endpoint took to prefill a prompt. `usual` is the pace of its service, if known, and is the
+    /// starting value of the endpoint's own average.
     pub fn note_reading(&mut self, name: &EndpointName, reading: ReadingTime, usual: Option<f64>) {
         let Some(measured) = reading.pace() else { return };
         let row = self.row(name);
@@ -143,14 +145,14 @@
         row.pace = Some(before + PACE_STEP * (measured - before));
     }
 
-    /// Returns how many milliseconds the endpoint takes for a token of a prompt. One that was not measured takes as long
-    /// as is `usual` in its service: among hundreds of entries and engines, hardly any pair meets twice.
+    /// Returns the endpoint's prefill time per token, in milliseconds. Falls back to the `usual` pace of its service,
+    /// since with hundreds of entries and engines an entry has measured few of the engines itself.
     pub fn pace(&self, name: &EndpointName, usual: Option<f64>) -> f64 {
         let measured = self.rows.get(name).and_then(|row| row.pace);
         measured.or(usual).unwrap_or(FIRST_PACE)
     }
 
-    /// Notes a failure that speaks against the endpoint.
+    /// Records a failure for which the endpoint is probably to blame.
     pub fn note_failure(&mut self, now: BootTime, name: &EndpointName) {
         let row = self.row(name);
         let doublings = row.failures.min(8);
@@ -159,8 +161,8 @@
         row.suspected_until = now + suspicion.min(LONGEST_SUSPICION);
     }
 
-    /// Notes that an endpoint could not be reached at all. One that does not even take a connection is not well again
-    /// a moment later, and each further try costs a call the time of a connection attempt.
+    /// Records that no connection to an endpoint could be made. The endpoint is suspected for the maximum time at once:
+    /// it is unlikely to recover quickly, and each further try costs a call the time of a connection attempt.
     pub fn note_unreachable(&mut self, now: BootTime, name: &EndpointName) {
         let row = self.row(name);
         row.failures += 1;
@@ -168,7 +170,8 @@
         row.silent_until = row.suspected_until;
     }
 
-    /// Notes that an endpoint does not answer, or that its answer was lost: what other entries send it may go the same way.
+    /// Records that an endpoint does not answer, or that its answer was lost. The endpoint is also reported to the
+    /// other entries, since their calls may be lost in the same way.
     pub fn note_silent(&mut self, now: BootTime, name: &EndpointName) {
         self.note_failure(now, name);
         let row = self.row(name);
@@ -176,13 +179,13 @@
         row.silent_until = row.suspected_until;
     }
 
-    /// Returns the endpoints that this entry itself has found silent.
+    /// Returns the endpoints that this entry itself finds silent, without those that it was told of.
     pub fn silent_endpoints(&self, now: BootTime) -> impl Iterator<Item = &EndpointName> {
         let silent = self.rows.iter().filter(move |(_, row)| now < row.silent_until);
         silent.map(|(name, _)| name)
     }
 
-    /// Takes over which endpoints other entries have found silent.
+    /// Replaces the set of endpoints that other entries find silent.
     pub fn hear_silent(&mut self, endpoints: impl IntoIterator<Item = EndpointName>) {
         for row in self.rows.values_mut() {
             row.is_silent_to_others = false;
@@ -192,7 +195,7 @@
         }
     }
 
-    /// Notes an answer that speaks for the endpoint.
+    /// Records a successful answer. It cancels one failure; when none is left, the entry's own suspicion ends.
     pub fn note_success(&mut self, name: &EndpointName) {
         let row = self.row(name);
         row.failures = row.failures.saturating_sub(1);
@@ -202,13 +205,13 @@
         }
     }
 
-    /// Tells whether the endpoint has failed lately.
+    /// Returns `true` if the endpoint has failed recently or other entries find it silent.
     pub fn is_suspected(&self, now: BootTime, name: &EndpointName) -> bool {
         let row = self.rows.get(name);
         row.is_some_and(|row| now < row.suspected_until || row.is_silent_to_others)
     }
 
-    /// Takes over which engines carry out an order.
+    /// Replaces the set of engines that are changing their stage.
     pub fn hear_resting(&mut self, engines: impl IntoIterator<Item = (EndpointName, RestingOrder)>) {
         for row in self.rows.values_mut() {
             row.resting = None;
@@ -218,8 +221,8 @@
         }
     }
 
-    /// Tells whether an engine carries out an order and takes no calls meanwhile. It has carried it out once it reports
-    /// the stage that was ordered.
+    /// Returns `true` while an engine is changing its stage and takes no calls. The change is complete once the engine
+    /// reports the ordered stage.
     pub fn is_resting(&self, now: BootTime, name: &EndpointName, endpoint: &ServingEndpoint) -> bool {
         let resting = self.rows.get(name).and_then(|row| row.resting);
         resting.is_some_and(|order| {
