--- a/crates/acaciabay/src/core/serving/endpoint_registry.rs
+++ b/crates/acaciabay/src/core/serving/endpoint_registry.rs
@@ -1,8 +1,8 @@
-//! What endpoints say of themselves, put in order.
+//! Registry of endpoints, built from the reports that they send about themselves.
 //!
-//! Reports travel by several ways and arrive late, twice and out of order. Each carries when its sender started and a
-//! number that rises; a report with a lower pair than the one held is old. Without that order, a late `ready` would
-//! undo a `draining`, and calls would be sent to an endpoint that is about to leave.
+//! Reports travel by several paths and may be delayed, duplicated and reordered. Each report carries the start time of
+//! its sender and an increasing sequence number; a report whose pair is not above the stored one is stale. Without this
+//! order, a delayed `ready` would undo a `draining`, and calls would be sent to an endpoint that is about to leave.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -11,50 +11,51 @@
 use crate::core::clock::BootTime;
 use crate::core::name::{DomainName, EndpointName, ServiceName};
 
-/// When an endpoint started, in milliseconds since 1970 by its own clock. A later start is another incarnation.
+/// Start time of an endpoint, in milliseconds since the Unix epoch by its own clock. It identifies the incarnation: a
+/// later start is another one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointBirth(pub u64);
 
-/// Whether an endpoint takes new calls.
+/// Lifecycle phase of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EndpointPhase {
-    /// It does.
+    /// It takes new calls.
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// It finishes its running calls and takes no new ones.
     Draining,
-    /// It has left.
+    /// It has left and answers nothing.
     Gone,
 }
 
-/// What an engine does with a prompt.
+/// The stage of inference that an engine runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum EngineStage {
-    /// It reads prompts for others.
+    /// It prefills prompts for decode engines.
     Prefill,
-    /// It makes tokens.
+    /// It generates tokens.
     Decode,
 }
 
-/// The latest that is known of an endpoint.
+/// The latest known state of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServingEndpoint {
-    /// Its service.
+    /// The service that it belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     /// Its failure domain.
     pub domain: DomainName,
-    /// Calls that it runs at once.
+    /// Maximum number of calls that it runs concurrently.
     pub slots: u32,
-    /// Whether it takes calls.
+    /// Its lifecycle phase.
     pub phase: EndpointPhase,
-    /// What it does with prompts, where it runs models.
+    /// Its stage, if it is an engine that runs models.
     pub stage: Option<EngineStage>,
-    /// Whether the platform may take it away at short notice.
+    /// Set if the platform may reclaim it at short notice.
     pub reclaimable: bool,
-    /// When it started.
+    /// Its start time, which identifies the incarnation.
     pub birth: EndpointBirth,
-    /// The number of its report.
+    /// The sequence number of its report within the incarnation.
     pub sequence: u64,
 }
 
@@ -64,23 +65,24 @@
     heard_at: BootTime,
 }
 
-/// All endpoints that reports have named.
+/// All endpoints that have been reported, by name.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointRegistry {
     rows: BTreeMap<EndpointName, RegistryRow>,
 }
 
-/// How long an endpoint may be silent before nothing is sent to it while others are heard.
+/// Time without a report after which an endpoint gets no calls, as long as other endpoints of its service still report.
 ///
-/// Endpoints report about once a second; three missed reports are no accident. Silence alone does not prove that an
-/// endpoint is gone, since the path of its reports may be cut while the path to it is not.
+/// Endpoints report about once a second, and three missed reports are unlikely to be chance. Silence alone does not
+/// prove that an endpoint is gone: the path of its reports may be cut while the endpoint itself is reachable.
 pub const SILENCE_LIMIT: Duration = Duration::from_secs(4);
 
-/// How long a row outlives the last report: as long as a late report of a left endpoint may still arrive.
+/// Time for which a row is kept after its last report: as long as a delayed report of an endpoint that has left may
+/// still arrive.
 const ROW_LIFETIME: Duration = Duration::from_secs(60);
 
 impl EndpointRegistry {
-    /// Takes a report and tells whether it changed anything but the report's number.
+    /// Applies a report and returns its effect. A report that differs only in its sequence number is no change.
     pub fn report(&mut self, now: BootTime, name: &EndpointName, endpoint: ServingEndpoint) -> ReportEffect {
         let Some(row) = self.rows.get_mut(name) else {
             let row = RegistryRow {
@@ -96,7 +98,7 @@
         }
         let mut endpoint = endpoint;
         if endpoint.birth == held.birth {
-            // An endpoint that has said that it leaves does not come back within the same start.
+            // An endpoint that has announced its departure does not return within the same incarnation.
             endpoint.phase = endpoint.phase.max(held.phase);
         }
         let is_same = ServingEndpoint {
@@ -112,8 +114,8 @@
         }
     }
 
-    /// Takes what another process tells of an endpoint. That a start has left counts also with an old number, since leaving
-    /// carries none of its own; it says nothing about a later start.
+    /// Applies a report that another process has relayed. A departure is applied even if its sequence number is stale,
+    /// since a departure has no number of its own; it does not affect a later incarnation.
     pub fn hear(&mut self, now: BootTime, name: &EndpointName, endpoint: ServingEndpoint) -> ReportEffect {
         let (phase, birth) = (endpoint.phase, endpoint.birth);
         match self.report(now, name, endpoint) {
@@ -122,8 +124,8 @@
         }
     }
 
-    /// Notes that an endpoint has left; a birth below the one held names an earlier start, one above it a start whose
-    /// reports have not come here.
+    /// Marks an endpoint as gone. A `birth` below the stored one belongs to an earlier incarnation and is ignored; one
+    /// above it belongs to an incarnation whose reports have not arrived here, and is stored.
     pub fn leave(&mut self, name: &EndpointName, birth: Option<EndpointBirth>) -> ReportEffect {
         match self.rows.get_mut(name) {
             Some(row) if birth.is_none_or(|birth| birth >= row.endpoint.birth) => {
@@ -140,19 +142,19 @@
         }
     }
 
-    /// Returns an endpoint.
+    /// Returns the endpoint with this name, if it is known.
     pub fn get(&self, name: &EndpointName) -> Option<&ServingEndpoint> {
         self.rows.get(name).map(|row| &row.endpoint)
     }
 
-    /// Returns all endpoints.
+    /// Returns all known endpoints, in the order of their names.
     pub fn rows(&self) -> impl Iterator<Item = (&EndpointName, &ServingEndpoint)> {
         self.rows.iter().map(|(name, row)| (name, &row.endpoint))
     }
 
-    /// Returns the endpoints of a service that take calls.
+    /// Returns the endpoints of a service that take new calls.
     ///
-    /// Where two rows have one address, the one that started later has it: the other's report was late.
+    /// If several rows have the same address, it belongs to the latest incarnation; the other reports were delayed.
     pub fn ready<'registry>(
         &'registry self,
         now: BootTime,
@@ -161,7 +163,7 @@
         self.heard(now, service, |phase| phase == EndpointPhase::Ready)
     }
 
-    /// Returns the endpoints of a service that answer, those included that leave and take no new calls.
+    /// Returns the endpoints of a service that still answer, including those that are draining.
     pub fn answering<'registry>(
         &'registry self,
         now: BootTime,
@@ -187,18 +189,18 @@
         let any_heard = wanted.iter().any(|(_, row)| heard(row));
         wanted
             .into_iter()
-            // When all are silent, the path of the reports is cut, which says nothing about the endpoints.
+            // If all are silent, the path of the reports is probably cut, which says nothing about the endpoints.
             .filter(|(_, row)| !any_heard || heard(row))
             .map(|(name, row)| (name, &row.endpoint))
             .collect()
     }
 
-    /// Forgets rows that nothing was heard of for long.
+    /// Removes the rows of endpoints that have not reported for a minute.
     pub fn forget_silent(&mut self, now: BootTime) {
         self.rows.retain(|_, row| now.since(row.heard_at) < ROW_LIFETIME);
     }
 
-    /// Returns the latest birth at each address.
+    /// Returns the start time of the latest incarnation at each address.
     fn youngest_by_address(&self) -> HashMap<SocketAddr, EndpointBirth> {
         let mut youngest = HashMap::with_capacity(self.rows.len());
         for RegistryRow { endpoint, .. } in self.rows.values() {
@@ -209,13 +211,13 @@
     }
 }
 
-/// What a report came to.
+/// Effect of a report on the registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportEffect {
-    /// It says something new.
+    /// The stored state has changed.
     Changed,
-    /// It says that the endpoint is as before.
+    /// The report was current but the endpoint's state is unchanged.
     Heard,
-    /// It is older than what is held, or of an endpoint that is not known.
+    /// The report was ignored: it is older than the stored state, or announces the departure of an unknown endpoint.
     Old,
 }
--- a/crates/acaciabay/tests/serving/registry.rs
+++ b/crates/acaciabay/tests/serving/registry.rs
@@ -1,4 +1,4 @@
-//! Reports of endpoints in any order.
+//! Tests of the endpoint registry with delayed, duplicated and reordered reports.
 
 use std::net::SocketAddr;
 
@@ -18,8 +18,8 @@
     }
 }
 
-/// A report that was held up by the network arrives after the endpoint has said that it leaves. Were it believed, calls
-/// would be sent to an endpoint that goes away under them, and callers would see their answers break off.
+/// A `ready` report that the network has delayed arrives after a `draining` one. If it were applied, calls would be
+/// sent to an endpoint that is about to leave, and callers would see truncated answers.
 #[test]
 fn a_late_ready_does_not_undo_a_draining() {
     let mut registry = EndpointRegistry::default();
@@ -31,8 +31,9 @@
     assert!(registry.ready(at(10), &"llm".into()).is_empty());
 }
 
-/// An endpoint tells one replica that it leaves, while its last `ready` with a higher number is still on its way through
-/// another. Callers would be sent to it again for as long as it goes on reporting.
+/// An endpoint announces its departure to one replica while a `ready` with a higher sequence number is still in flight
+/// through another. If that report were applied, calls would be sent to the endpoint for as long as it goes on
+/// reporting.
 #[test]
 fn leaving_holds_for_the_whole_start() {
     let mut registry = EndpointRegistry::default();
@@ -44,8 +45,9 @@
     assert!(registry.ready(at(10), &"llm".into()).is_empty());
 }
 
-/// An endpoint has told one replica that it leaves, and has gone on reporting to another until it stopped. What the first
-/// one tells has an old number; dropped as old, it would leave callers with an endpoint that is gone.
+/// An endpoint announces its departure to one replica and goes on reporting to another until it stops. The departure
+/// that the first replica relays has a stale sequence number. If it were ignored, calls would be sent to an endpoint
+/// that is gone.
 #[test]
 fn word_of_leaving_counts_also_with_an_old_number() {
     let mut entry = EndpointRegistry::default();
@@ -57,8 +59,8 @@
     assert!(entry.ready(at(10), &"llm".into()).is_empty());
 }
 
-/// An endpoint starts again under the name that it had, and its counts start anew. If only the numbers were compared, its
-/// reports would be dropped as old until they passed the last one of the start before.
+/// An endpoint restarts under the same name, and its sequence numbers start again. If only these were compared, its
+/// reports would be ignored until they passed the last number of the previous incarnation.
 #[test]
 fn a_new_start_counts_from_the_beginning() {
     let mut registry = EndpointRegistry::default();
@@ -70,8 +72,8 @@
     assert_eq!(registry.ready(at(10), &"llm".into()).len(), 1);
 }
 
-/// A notice that an earlier start has left arrives when the endpoint is up again. Taken for the present one, it would
-/// leave an idle endpoint that nobody sends to.
+/// The departure of an earlier incarnation arrives after the endpoint has restarted. If it were applied to the present
+/// incarnation, a healthy endpoint would get no calls.
 #[test]
 fn leaving_of_an_earlier_start_is_old() {
     let mut registry = EndpointRegistry::default();
@@ -83,8 +85,8 @@
     assert_eq!(registry.ready(at(10), &"llm".into()).len(), 1);
 }
 
-/// A report that a partition has held up comes from an endpoint whose address belongs to another one by now. Calls for
-/// the first would reach the second.
+/// A report that a network partition has delayed names an address that by now belongs to another endpoint. If it were
+/// used, calls for the first endpoint would reach the second.
 #[test]
 fn an_address_belongs_to_the_latest_start() {
     let mut registry = EndpointRegistry::default();
@@ -100,7 +102,8 @@
     );
 }
 
-/// An endpoint crashes and says nothing. Callers would wait for its connections to time out, one after the other.
+/// An endpoint crashes without announcing its departure. If it were still used, one caller after another would wait for
+/// its connection to time out.
 #[test]
 fn a_silent_endpoint_is_left_out_while_others_are_heard() {
     let mut registry = EndpointRegistry::default();
@@ -121,8 +124,8 @@
     );
 }
 
-/// The path of all reports is cut while the endpoints serve on. If silence alone took them out, every call would be
-/// refused although every endpoint could run it.
+/// The path of all reports is cut while the endpoints still serve. If silence alone excluded an endpoint, every call
+/// would be refused although every endpoint could run it.
 #[test]
 fn when_all_are_silent_all_are_used() {
     let mut registry = EndpointRegistry::default();
@@ -134,8 +137,8 @@
     assert_eq!(ready.len(), 1);
 }
 
-/// A replica that was cut off still tells that an earlier start of an endpoint has left, while the endpoint has started
-/// again under its name. Believed for the later start, that would take a sound endpoint out for good.
+/// A replica that was partitioned relays the departure of an earlier incarnation after the endpoint has restarted under
+/// the same name. If it were applied to the later incarnation, a healthy endpoint would be excluded for good.
 #[test]
 fn a_late_word_that_an_earlier_start_has_left_harms_no_later_one() {
     let mut registry = EndpointRegistry::default();
@@ -147,8 +150,9 @@
     assert_eq!(registry.ready(at(0), &"llm".into()).len(), 1);
 }
 
-/// An endpoint has started again and says to a replica that has not heard of that start yet that it leaves. What this
-/// replica passes on must name the later start, or those who know it would go on sending calls there.
+/// A restarted endpoint announces its departure to a replica that does not know the new incarnation yet. The replica
+/// must relay the departure with the new start time; otherwise entries that know the new incarnation would ignore it
+/// and go on sending calls.
 #[test]
 fn leaving_is_passed_on_for_the_start_that_leaves() {
     let mut replica = EndpointRegistry::default();
@@ -164,7 +168,7 @@
     assert!(entry.ready(at(0), &"llm".into()).is_empty());
 }
 
-/// An endpoint that leaves takes no new calls, but other engines may still copy from it what it has read.
+/// A draining endpoint takes no new calls, but other engines may still copy cached parts from it.
 #[test]
 fn an_endpoint_that_leaves_still_answers() {
     let mut registry = EndpointRegistry::default();
@@ -188,8 +192,8 @@
 proptest! {
     #![proptest_config(fixed_cases())]
 
-    /// Whatever the order of reports, what is held is the report with the highest pair of start and number, and it
-    /// drains if any report of that start said so up to then.
+    /// In any order of reports, the registry holds the report with the highest pair of start time and sequence number.
+    /// The endpoint is draining if any applied report of that incarnation said so.
     #[test]
     fn any_order_comes_to_the_latest_report(reports in prop::collection::vec((1_u64..4, 1_u64..6, phase()), 1..20)) {
         let mut registry = EndpointRegistry::default();
