--- a/crates/acaciabay/src/core/serving/kept_parts.rs
+++ b/crates/acaciabay/src/core/serving/kept_parts.rs
@@ -1,44 +1,46 @@
-//! Which engines keep which shared parts of prompts, told by the entries that had them read there to all others.
+//! Distribution of prompt cache contents: entries announce which shared prompt parts they had an engine prefill.
 //!
-//! With many entries each one sends but a few prompts, and knows next to nothing of what engines keep. It would take a
-//! part for kept that nobody has read yet, and a queue of seconds for a short one. So each entry tells what it had read,
-//! the leader collects it, and every entry is told what is new since it last asked.
+//! With many entries, each one sends only a few prompts and knows little of what engines have cached. It would take a
+//! part for cached that no engine has prefilled yet, and a queue of seconds for a short one. Each entry therefore
+//! announces the parts that it had prefilled, the leader collects them in a log, and every entry gets what is new since
+//! its last request.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 
 use super::prompt::{PartId, PromptPart};
 use crate::core::name::EndpointName;
 
-/// An engine keeps a part.
+/// A prompt part that an engine has cached.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeptPart {
-    /// The engine.
+    /// The engine that has cached the part.
     pub engine: EndpointName,
-    /// The part.
+    /// The cached part.
     pub part: PromptPart,
 }
 
-/// Most parts that are remembered for entries that start: about what the engines of a deployment keep.
+/// Maximum number of rows in the log, from which entries that start are brought up to date. It is about the number of
+/// parts that the engines of a deployment have cached.
 const MOST_ROWS: usize = 8_192;
 
-/// Most parts that one answer carries: an entry that starts waits for its lease behind them.
+/// Maximum number of rows in one answer. The lease for which an entry that starts is waiting arrives behind them.
 const ANSWER_ROWS: usize = 512;
 
-/// A place in the log of kept parts; the log begins at 0.
+/// A position in the log of cached parts. The log begins at 0.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LogPlace(pub u64);
 
-/// What entries have told, each engine and part once, in the order in which it came.
+/// Bounded log of the announcements of all entries, in the order of arrival and without duplicates.
 #[derive(Debug, Default)]
 pub struct KeptLog {
     rows: VecDeque<KeptPart>,
-    /// How many rows came before those that are remembered.
+    /// Number of rows that have been dropped from the front, that is, the position of the first row.
     forgotten: u64,
     known: HashMap<EndpointName, HashSet<PartId>>,
 }
 
 impl KeptLog {
-    /// Notes what an entry has told.
+    /// Appends an announcement, unless the log already has it. Drops the oldest row if the log is full.
     pub fn push(&mut self, kept: KeptPart) {
         if !self.known.entry(kept.engine.clone()).or_default().insert(kept.part.id) {
             return;
@@ -61,7 +63,7 @@
         }
     }
 
-    /// Returns what came from `place` on, as much as one answer carries, and the place after it.
+    /// Returns the rows from `place` on, at most as many as fit into one answer, and the position after them.
     pub fn since(&self, place: LogPlace) -> (impl Iterator<Item = &KeptPart>, LogPlace) {
         let first = place.0.max(self.forgotten);
         let skipped = usize::try_from(first - self.forgotten).unwrap_or(usize::MAX);
@@ -71,7 +73,7 @@
     }
 }
 
-/// What an entry has to tell.
+/// Announcements that one entry has yet to send.
 #[derive(Clone, Debug, Default)]
 pub struct KeptNews {
     told: HashMap<EndpointName, HashSet<PartId>>,
@@ -79,7 +81,7 @@
 }
 
 impl KeptNews {
-    /// Notes that this entry had an engine read these parts.
+    /// Queues announcements that an engine has cached these parts, except for those that are already known.
     pub fn note_read(&mut self, engine: &EndpointName, parts: &[PromptPart]) {
         let told = self.told.entry(engine.clone()).or_default();
         for part in parts {
@@ -92,17 +94,17 @@
         }
     }
 
-    /// Notes what another entry has told already.
+    /// Records an announcement of another entry, so that this entry does not repeat it.
     pub fn hear(&mut self, kept: &KeptPart) {
         self.told.entry(kept.engine.clone()).or_default().insert(kept.part.id);
     }
 
-    /// Takes what is to be told now.
+    /// Returns the queued announcements and empties the queue.
     pub fn take(&mut self) -> Vec<KeptPart> {
         std::mem::take(&mut self.waiting)
     }
 
-    /// Forgets the engines that are gone.
+    /// Drops the records of engines that are no longer known.
     pub fn retain(&mut self, is_known: impl Fn(&EndpointName) -> bool) {
         self.told.retain(|engine, _| is_known(engine));
     }
--- a/crates/acaciabay/src/core/serving/part_memory.rs
+++ b/crates/acaciabay/src/core/serving/part_memory.rs
@@ -4,7 +4,7 @@
 
 use super::prompt::{PartId, PromptPart};
 
-/// The parts that one endpoint is believed to keep, the longest unused going first.
+/// Estimate of one endpoint's prompt cache. The least recently used part is evicted first.
 #[derive(Clone, Debug, Default)]
 pub struct PartMemory {
     parts: HashMap<PartId, RememberedPart>,
@@ -20,14 +20,15 @@
 }
 
 impl PartMemory {
-    /// Returns how many tokens at the start of a prompt need not be read again: the parts from the first on that are
-    /// kept without a gap.
+    /// Returns the length of the cached prefix of a prompt in tokens: the parts before the first one that is not
+    /// cached.
     pub fn kept_tokens(&self, parts: &[PromptPart]) -> u64 {
         let kept = parts.iter().take_while(|part| self.parts.contains_key(&part.id));
         kept.map(|part| part.tokens).sum()
     }
 
-    /// Notes that the endpoint has read these parts, and forgets the longest unused beyond `capacity` tokens.
+    /// Records that the endpoint has prefilled these parts. Evicts the least recently used ones until the rest fits
+    /// into `capacity` tokens.
     pub fn note_read(&mut self, parts: &[PromptPart], capacity: u64) {
         for part in parts {
             self.uses += 1;
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Returns how many tokens are kept in all.
+    /// Returns the total number of cached tokens.
     pub const fn tokens(&self) -> u64 {
         self.tokens
     }
--- a/crates/acaciabay/src/core/serving/prompt.rs
+++ b/crates/acaciabay/src/core/serving/prompt.rs
@@ -1,40 +1,40 @@
-//! What a prompt consists of.
+//! The composition of a prompt: its model, its length and the parts that it shares with other prompts.
 
-/// Identifies a part of a prompt that several requests may share.
+/// Identifier of a prompt part. Requests that share a part use the same identifier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PartId(pub u64);
 
-/// One part.
+/// A contiguous part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Which part.
+    /// The identifier of the part.
     pub id: PartId,
     /// Its length in tokens.
     pub tokens: u64,
 }
 
-/// A prompt by its parts, the shared ones first. The last part belongs to the request or to its session alone.
+/// A prompt as a list of parts, the shared ones first. The last part belongs to one request or session alone.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PromptShape {
     /// The model, as the caller names it.
     pub model: String,
     /// The length of the prompt in tokens.
     pub prompt_tokens: u64,
-    /// The most tokens that the answer may have.
+    /// The maximum length of the answer in tokens.
     pub output_tokens: u64,
-    /// The parts in their order.
+    /// The parts in prompt order.
     pub parts: Vec<PromptPart>,
 }
 
 impl PromptShape {
-    /// Returns the parts that other requests may have in common with this one.
+    /// Returns the parts that other requests may share: all but the last.
     pub fn shared_parts(&self) -> &[PromptPart] {
         let count = self.parts.len().saturating_sub(1);
         &self.parts[..count]
     }
 
-    /// Returns the key by which requests with the same shared parts find the same endpoint: their last shared part, or
-    /// nothing where all parts are the request's own.
+    /// Returns the key that routes requests with the same shared parts to the same endpoint: the last shared part, or
+    /// `None` if the prompt has no shared parts.
     pub fn affinity(&self) -> Option<PartId> {
         self.shared_parts().last().map(|part| part.id)
     }
--- a/crates/acaciabay/tests/serving/keeping.rs
+++ b/crates/acaciabay/tests/serving/keeping.rs
@@ -1,4 +1,4 @@
-//! What entries tell each other of the parts that engines keep.
+//! Tests of the announcements by which entries share what engines have cached.
 
 use acaciabay::core::serving::kept_parts::{KeptLog, KeptNews, KeptPart, LogPlace};
 
@@ -11,7 +11,7 @@
     }
 }
 
-/// Reads the log from its beginning, an answer at a time.
+/// Reads the whole log, one answer at a time.
 fn read_all(log: &KeptLog) -> Vec<KeptPart> {
     let mut all = Vec::new();
     let mut place = LogPlace::default();
@@ -25,7 +25,8 @@
     }
 }
 
-/// Every entry has the same popular part read at the same engine. Told each time, it would fill the links to all entries.
+/// All entries have the same popular part prefilled by the same engine. If each of them announced it again, the
+/// announcements would saturate the links to all entries.
 #[test]
 fn what_was_told_once_is_not_told_again() {
     let mut log = KeptLog::default();
@@ -44,7 +45,8 @@
     assert_eq!(news.take(), Vec::new());
 }
 
-/// An entry that starts late hears of everything, and waits for no answer that carries all of it.
+/// An entry that starts late gets the whole log, in several answers of limited size, so that none of them delays its
+/// lease.
 #[test]
 fn a_late_entry_is_told_all_in_several_answers() {
     let mut log = KeptLog::default();
@@ -58,7 +60,8 @@
     assert_eq!(read_all(&log).len(), 1_500);
 }
 
-/// A leader has been told for hours. It keeps the latest parts only, and a connection that lagged goes on with those.
+/// A leader collects announcements for hours. The log keeps only the latest ones, and a connection that has fallen
+/// behind continues with the oldest row that is left.
 #[test]
 fn the_log_stays_bounded() {
     let mut log = KeptLog::default();
@@ -73,7 +76,7 @@
     let all = read_all(&log);
     assert!(all.len() < 10_000);
     assert_eq!(all.last(), Some(&kept("e1", 19_999)));
-    // What was forgotten is news again.
+    // A row that was dropped is accepted again.
     log.push(kept("e1", 0));
     assert_eq!(read_all(&log).last(), Some(&kept("e1", 0)));
 }
--- a/crates/acaciabay/tests/serving/prompts.rs
+++ b/crates/acaciabay/tests/serving/prompts.rs
@@ -1,4 +1,4 @@
-//! Which parts of prompts an endpoint is believed to keep.
+//! Tests of the estimate of an endpoint's prompt cache.
 
 use acaciabay::core::serving::part_memory::PartMemory;
 use acaciabay::core::serving::prompt::PartId;
@@ -24,7 +24,7 @@
 proptest! {
     #![proptest_config(fixed_cases())]
 
-    /// The memory holds what a list of uses would: the latest ones that fit.
+    /// The cache holds the same parts as a plain list in order of use from which the oldest are removed.
     #[test]
     fn the_longest_unused_parts_go_first(uses in prop::collection::vec((0_u64..8, 1_u64..50), 1..60)) {
         const CAPACITY: u64 = 120;
