--- a/crates/acaciabay/src/core/serving/reading_need.rs
+++ b/crates/acaciabay/src/core/serving/reading_need.rs
@@ -1,34 +1,34 @@
-//! How many endpoints a service needs, from what has to be read.
+//! Estimate of how many endpoints a service needs, from its prefill load.
 
 use std::time::Duration;
 
 use crate::core::clock::BootTime;
 use crate::util::number::round_up;
 
-/// How fast the remembered peak of what has to be read fades: to a third within this time.
+/// Time constant with which the peak of the prefill load decays: to about a third within this time.
 const PEAK_MEMORY: Duration = Duration::from_secs(15);
-/// How much of the way to a higher measurement the peak goes at once: a burst of half a second is not what endpoints
-/// are ordered for.
+/// Fraction of the distance to a higher measurement by which the peak rises at once. Endpoints are not ordered for a
+/// burst of half a second.
 const PEAK_STEP: f64 = 0.4;
-/// How long a smaller need has to last before endpoints are given back.
+/// Time for which the need must stay smaller before endpoints are given back.
 const SHRINK_TIME: Duration = Duration::from_secs(10);
-/// The part of their time that engines should be busy reading, at the peak that is remembered.
+/// Target utilization of the prefill engines at the decayed peak.
 const READING_FILL: f64 = 0.7;
 
-/// The reserve at the start, as one in this many: no engine has read a shared part yet, and until each is read once
-/// reading takes about twice as long as later.
+/// Divisor of the initial endpoints that gives the reserve added to them. At the start no engine has cached a shared
+/// part, and until each part has been prefilled once, prefill takes about twice as long as later.
 const START_RESERVE: u32 = 2;
 
-/// What has to be read, as measured since the last look.
+/// Prefill load since the previous measurement.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ReadingMeasure {
-    /// Tokens of prompts that no engine had read before.
+    /// Prompt tokens that had to be prefilled because no engine had cached them.
     pub unread_tokens: u64,
-    /// Milliseconds that an engine takes for a token; 0 while nothing was measured.
+    /// Prefill time per token in milliseconds, or 0 before the first measurement.
     pub pace: f64,
 }
 
-/// The need of one service over time.
+/// The need of one service for endpoints, tracked over time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReadingNeed {
     tokens_per_second: f64,
@@ -42,9 +42,10 @@
 }
 
 impl ReadingNeed {
-    /// Takes what the operators have started with for the need until something is measured. `is_final` says that all
-    /// endpoints have reported; what is ordered meanwhile is not counted again after that. `has_calls` says that calls run
-    /// already: another leader planned before this one, and its reserve is among the endpoints.
+    /// Sets the need to the number of endpoints that the operators have started, plus a reserve, until the first
+    /// measurement. `is_final` means that all endpoints have reported; later calls are then ignored, so that endpoints
+    /// ordered in the meantime are not counted. `has_calls` means that calls are already running: an earlier leader has
+    /// planned before, and the endpoints include its reserve.
     pub const fn start_with(&mut self, endpoints: u32, is_final: bool, has_calls: bool) {
         if self.is_measured || self.is_started {
             return;
@@ -58,7 +59,8 @@
         self.is_started = is_final;
     }
 
-    /// Takes a measurement. `makers` is how many engines make tokens beside those that read.
+    /// Applies a measurement. `makers` is the number of decode engines that are needed in addition to the prefill
+    /// engines.
     pub fn measure(&mut self, now: BootTime, measure: ReadingMeasure, makers: u32) {
         let since = self.looked_at.replace(now).map(|looked_at| now.since(looked_at));
         let Some(since) = since.filter(|since| !since.is_zero()) else {
@@ -88,22 +90,25 @@
         }
     }
 
-    /// Returns how many endpoints the work needs.
+    /// Returns the number of endpoints to provide. It falls only after the need has stayed smaller for some time.
     pub const fn needed(&self) -> u32 {
         self.needed
     }
 
-    /// Returns how many endpoints the work of the last seconds needs; 0 until it was measured.
+    /// Returns the number of endpoints that the current peak calls for, or 0 before the first measurement. Unlike
+    /// [`needed`], it falls without delay as the peak decays.
+    ///
+    /// [`needed`]: Self::needed
     pub const fn needed_now(&self) -> u32 {
         self.needed_now
     }
 
-    /// Returns how many engines reading needs at present, without those that make tokens.
+    /// Returns the number of prefill engines that the current peak calls for, as a fraction and without decode engines.
     pub const fn readers(&self) -> f64 {
         self.readers
     }
 
-    /// Tells whether the need was measured.
+    /// Returns `true` once the need is based on a measurement.
     pub const fn is_measured(&self) -> bool {
         self.is_measured
     }
--- a/crates/acaciabay/src/core/serving/reading_pace.rs
+++ b/crates/acaciabay/src/core/serving/reading_pace.rs
@@ -1,44 +1,46 @@
-//! How fast the engines of a service read prompts, without what waits before them.
+//! Estimate of the prefill time per token of a service's engines, without queueing time.
 //!
-//! The need for engines is the work that comes times this pace. In a burst most prompts meet a queue that their entry has
-//! not heard of yet, and the time that they wait there would be taken for work. So the pace is that of the fastest tenth
-//! of the prompts before which nothing is known to wait: it falls at once and rises slowly.
+//! The need for engines is the incoming work multiplied by this pace. In a burst, most prompts meet a queue that their
+//! entry does not know of yet, and their queueing time would be counted as work. The estimate therefore follows the
+//! fastest tenth of the prompts that have no known queue in front of them: it falls quickly and rises slowly.
 
 use std::time::Duration;
 
-/// Prompts with fewer tokens say more about the network than about the engine.
+/// Minimum number of tokens for a usable measurement. The time for fewer tokens depends more on the network than on the
+/// engine.
 const LEAST_MEASURED: u64 = 1_000;
 
-/// What an engine took to read a prompt.
+/// Measured time that an engine took to prefill a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadingTime {
-    /// Tokens that it had before it.
+    /// Tokens that were queued at the engine before the prompt, as far as the entry knew.
     pub queued: u64,
-    /// Tokens of the prompt that it had not read before.
+    /// Tokens of the prompt that the engine had not cached.
     pub unread: u64,
-    /// From the send to the answer.
+    /// Time from sending the prompt to the answer.
     pub took: Duration,
 }
 
 impl ReadingTime {
-    /// Returns how many milliseconds the engine took for a token; nothing where there were too few.
+    /// Returns the time per token in milliseconds, or `None` if there were too few tokens.
     pub(super) fn pace(self) -> Option<f64> {
         let tokens = self.queued + self.unread;
         (tokens >= LEAST_MEASURED).then(|| self.took.as_secs_f64() * 1_000.0 / tokens as f64)
     }
 }
 
-/// The pace of one service, in milliseconds for a token of a prompt.
+/// The pace of one service: prefill time per token in milliseconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReadingPace(Option<f64>);
 
 impl ReadingPace {
-    /// The part by which a slower reading raises it.
+    /// Relative step by which a slower measurement raises the pace.
     const RISE: f64 = 0.005;
-    /// The part by which a faster reading lowers it; ten times as much, so that about a tenth of them are faster.
+    /// Relative step by which a faster measurement lowers the pace. It is ten times `RISE`, so that the pace settles
+    /// where about a tenth of the measurements are faster.
     const FALL: f64 = 0.05;
 
-    /// Takes a measurement, if nothing is known to have waited before the prompt.
+    /// Applies a measurement. Ignores it if the prompt had a known queue in front of it.
     pub fn note(&mut self, reading: ReadingTime) {
         let Some(measured) = reading.pace().filter(|_| reading.queued == 0) else {
             return;
@@ -53,7 +55,7 @@
         self.0 = Some(moved.unwrap_or(measured));
     }
 
-    /// Returns the pace, if anything was measured.
+    /// Returns the pace, or `None` before the first measurement.
     pub const fn get(self) -> Option<f64> {
         self.0
     }
--- a/crates/acaciabay/src/core/serving/stream_peak.rs
+++ b/crates/acaciabay/src/core/serving/stream_peak.rs
@@ -1,23 +1,23 @@
-//! The recent peak of the streams that run at a service.
+//! Decaying peak of the streams that run at a service.
 
 use std::time::Duration;
 
 use crate::core::clock::BootTime;
 
-/// How fast the remembered peak fades: to a third within this time. Streams come in bursts of a few seconds, and a
-/// change of stage takes as long.
+/// Time constant with which the peak decays: to about a third within this time. Streams come in bursts of a few
+/// seconds, and an engine takes as long to change its stage.
 const PEAK_MEMORY: Duration = Duration::from_secs(10);
 
-/// What running streams take.
+/// Resources that running streams occupy.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct StreamDemand {
-    /// Streams that run at once.
+    /// Number of concurrent streams.
     pub streams: f64,
-    /// Tokens of memory that they hold.
+    /// KV memory that they hold, in tokens.
     pub held_tokens: f64,
 }
 
-/// A demand that is followed upwards at once and downwards slowly.
+/// Peak of the stream demand. It follows a rise at once and a fall slowly.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct StreamPeak {
     demand: StreamDemand,
@@ -25,7 +25,7 @@
 }
 
 impl StreamPeak {
-    /// Takes what runs at present.
+    /// Updates the peak with the current demand.
     pub fn see(&mut self, now: BootTime, present: StreamDemand) {
         let faded = (-now.since(self.seen_at).as_secs_f64() / PEAK_MEMORY.as_secs_f64()).exp();
         self.demand = StreamDemand {
@@ -35,7 +35,7 @@
         self.seen_at = now;
     }
 
-    /// Returns the peak.
+    /// Returns the peak as of the last update.
     pub const fn demand(&self) -> StreamDemand {
         self.demand
     }
--- a/crates/acaciabay/tests/serving/paces.rs
+++ b/crates/acaciabay/tests/serving/paces.rs
@@ -1,10 +1,10 @@
-//! How fast engines read, as entries measure it.
+//! Tests of the estimate of the prefill time per token.
 
 use std::time::Duration;
 
 use acaciabay::core::serving::reading_pace::{ReadingPace, ReadingTime};
 
-/// Tokens of a prompt that take an engine of the tests 10 ms.
+/// Length of the test prompts. An idle test engine prefills one in 10 ms.
 const TOKENS: u64 = 3_000;
 
 fn reading(queued: u64, millis: u64) -> ReadingTime {
@@ -19,8 +19,8 @@
     pace.get().expect("something was measured")
 }
 
-/// A burst makes prompts wait for a second each. Taken for work, the waiting would have several times as many endpoints
-/// ordered as can be used, and paid for long after the burst.
+/// In a burst, prompts wait in known queues for a second each. If this time counted as work, several times as many
+/// endpoints as needed would be ordered, and paid for long after the burst.
 #[test]
 fn waiting_in_a_queue_is_not_taken_for_reading() {
     let mut pace = ReadingPace::default();
@@ -36,8 +36,8 @@
     assert!((value(pace) - calm).abs() < f64::EPSILON);
 }
 
-/// A few prompts meet a queue that no entry knew of, or an engine that kept all of their parts. They are off by a
-/// multiple, and the pace must not follow them.
+/// A few measurements are off by a multiple, since the prompt met an unknown queue or an engine that had cached all of
+/// its parts. The pace must not follow them.
 #[test]
 fn a_few_readings_that_are_off_hardly_move_the_pace() {
     let mut pace = ReadingPace::default();
@@ -50,8 +50,8 @@
     assert!(value(pace) < true_pace * 1.2, "{}", value(pace));
 }
 
-/// In a burst every prompt meets a queue of which its entry has not heard. For ten seconds, at ten prompts a second, all
-/// take thirty times as long; the need may grow by the work that has come, not by the waiting.
+/// In a burst, every prompt meets a queue that its entry does not know of. For ten seconds, at ten prompts a second,
+/// all of them take thirty times as long. The need may grow with the incoming work but not with the queueing time.
 #[test]
 fn queues_that_nobody_knows_of_hardly_raise_the_pace() {
     let mut pace = ReadingPace::default();
@@ -65,7 +65,7 @@
     assert!(value(pace) < true_pace * 1.8, "{}", value(pace));
 }
 
-/// Engines become slower for good. The need follows within some hundred prompts.
+/// Engines become slower permanently. The pace follows within a few hundred prompts.
 #[test]
 fn the_pace_follows_engines_that_become_slower() {
     let mut pace = ReadingPace::default();
