--- a/crates/acaciabay/tests/serving/fixtures.rs
+++ b/crates/acaciabay/tests/serving/fixtures.rs
@@ -1,4 +1,4 @@
-//! What the tests of this folder are made of.
+//! Values that several tests of this folder use.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -42,7 +42,7 @@
     }
 }
 
-/// An endpoint with an address of its own.
+/// An endpoint with a distinct address.
 pub(crate) fn numbered(number: u8, domain: &str, stage: EngineStage) -> ServingEndpoint {
     ServingEndpoint {
         address: SocketAddr::from(([10, 0, 0, number], 8_000)),
@@ -61,7 +61,7 @@
     }
 }
 
-/// A link over which the memory of a shared part of 13,000 tokens takes 10 ms.
+/// A link that copies the KV memory of a shared part of 13,000 tokens in 10 ms.
 pub(crate) fn link() -> MemoryLink {
     MemoryLink {
         token_bytes: 20_000,
@@ -134,7 +134,7 @@
     PromptPart { id: PartId(id), tokens }
 }
 
-/// A prompt with a shared part and one of its own.
+/// A prompt with one shared part and one unshared part.
 pub(crate) fn prompt(shared: u64, own: u64) -> PromptShape {
     PromptShape {
         model: "m".to_owned(),
@@ -144,7 +144,7 @@
     }
 }
 
-/// The same cases in every run, so that a run has the same verdict each time.
+/// A proptest configuration with a fixed seed, so that every run has the same cases and the same result.
 pub(crate) fn fixed_cases() -> Config {
     Config {
         rng_seed: RngSeed::Fixed(9),
@@ -156,7 +156,7 @@
 /// Engines with their names.
 pub(crate) type EngineRows = Vec<(EndpointName, ServingEndpoint)>;
 
-/// Engines of one stage, in turn in the failure domains a, b and c.
+/// Engines of one stage, assigned to the failure domains a, b and c in turn.
 pub(crate) fn rows(count: u8, stage: EngineStage) -> EngineRows {
     let domains = ["a", "b", "c"];
     let row = |number: u8| {
@@ -170,7 +170,7 @@
     rows.iter().map(|(name, endpoint)| (name, endpoint)).collect()
 }
 
-/// Prompts of so many tokens that are still to be read.
+/// Outstanding work of `tokens` prompt tokens that are still to be prefilled.
 pub(crate) fn unread(tokens: u64) -> EndpointWork {
     EndpointWork {
         unread_tokens: tokens,
--- a/crates/acaciabay/tests/serving/reading.rs
+++ b/crates/acaciabay/tests/serving/reading.rs
@@ -1,4 +1,4 @@
-//! Where prompts are read, and what is copied instead of being read.
+//! Tests of the choice of a prefill engine, and of copying cached parts instead of prefilling them again.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -13,12 +13,12 @@
 
 use crate::fixtures::{EngineRows, at, candidates, link, name, numbered, prompt, rows, unread};
 
-/// Places a prompt with the shared part `shared` where engines copy nothing.
+/// Places a prompt with the shared part `shared` among engines that cannot copy cached parts.
 fn place(loads: &LoadTable, rows: &EngineRows, shared: u64) -> EndpointName {
     place_with(loads, rows, &[], false, shared).endpoint
 }
 
-/// Places it where engines copy from each other.
+/// Places a prompt with the shared part `shared` among engines that can copy cached parts from each other.
 fn place_copying(loads: &LoadTable, readers: &EngineRows, shared: u64) -> PromptPlace {
     place_with(loads, readers, readers, true, shared)
 }
@@ -46,8 +46,8 @@
     place_prompt(&view, &engines, &prompt(shared, 99)).expect("there are engines")
 }
 
-/// Several entries get requests with the same long shared part. Without knowing of each other, they would have it read
-/// by as many engines as there are entries.
+/// Several entries get requests with the same long shared part. If their choices differed, as many engines would
+/// prefill the part as there are entries.
 #[test]
 fn entries_agree_on_the_first_reader_of_a_part() {
     let rows = rows(7, EngineStage::Prefill);
@@ -59,8 +59,8 @@
     assert_eq!(place(&other, &rows, 5), first);
 }
 
-/// A burst asks for one shared part. Sent on as soon as one queue is a little longer, each request would have the part
-/// read once more, and every queue would grow by it.
+/// A burst of requests has one shared part. If requests moved to another engine as soon as the queue of the first grew
+/// a little, each engine would prefill the part again, and every queue would grow by it.
 #[test]
 fn a_queue_is_borne_before_a_part_is_read_again() {
     let rows = rows(7, EngineStage::Prefill);
@@ -75,7 +75,8 @@
     assert_ne!(place(&loads, &rows, 5), home);
 }
 
-/// An engine fails what it gets. Sent there for its memory's sake, one call after another would fail.
+/// An engine fails every call. If prompts were still sent there because it has their parts cached, one call after
+/// another would fail.
 #[test]
 fn an_engine_that_fails_is_left_out_while_there_are_others() {
     let rows = rows(3, EngineStage::Prefill);
@@ -91,8 +92,8 @@
     assert_eq!(place(&loads, &rows, 5), home);
 }
 
-/// Many callers ask for the same long part at once, and its home has a second of work before it. Another engine copies the
-/// part in tens of milliseconds and begins at once; read there anew, the part would take it a third of a second.
+/// Many requests have the same long part, and its home has a second of queued work. Another engine copies the part in
+/// tens of milliseconds and begins at once; prefilling it again there would take a third of a second.
 #[test]
 fn a_part_is_copied_where_its_home_is_overloaded() {
     let readers = rows(7, EngineStage::Prefill);
@@ -105,13 +106,13 @@
 
     assert_ne!(other.endpoint, home);
     assert_eq!(other.copy_from, Some(home));
-    // Its own 3,000 tokens, and what is left of the doubt whether the home keeps the part.
+    // The prompt's own 3,000 tokens, plus a margin in case the home no longer has the part.
     assert!(other.unread_tokens < 4_000, "{}", other.unread_tokens);
     assert!(other.wait.as_millis() < 120, "{:?}", other.wait);
 }
 
-/// The homes of all parts have short queues. Spread over more engines than needed, each part would be read by several of
-/// them before any could copy it.
+/// The home of a part has a short queue. If prompts spread to more engines than needed, several of them would prefill
+/// the part before any could copy it.
 #[test]
 fn a_part_stays_at_its_home_while_the_queue_is_short() {
     let readers = rows(7, EngineStage::Prefill);
@@ -123,8 +124,8 @@
     assert_eq!(place_copying(&loads, &readers, 5).endpoint, home);
 }
 
-/// A part is known to be kept at its home, which has a third of a second of work, and other engines are free. Waiting
-/// there, a long prompt comes too late, while a copy takes hundredths of a second.
+/// A part is cached at its home, which has a third of a second of queued work, and other engines are idle. A long
+/// prompt that waited there would be late, while a copy takes hundredths of a second.
 #[test]
 fn a_kept_part_is_copied_rather_than_waited_for() {
     let readers = rows(7, EngineStage::Prefill);
@@ -139,8 +140,8 @@
     assert_eq!(other.copy_from, Some(home));
 }
 
-/// Every engine has work, and the memory of each is full. A part that is copied there takes the place of another, which
-/// has to be read again in the middle of the burst; so a prompt waits longer for the engine that keeps its part.
+/// Every engine has work and a full cache. A part that is copied to one evicts another, which must be prefilled again
+/// in the middle of the burst. A prompt therefore waits longer for the engine that has its part cached.
 #[test]
 fn a_kept_part_is_waited_for_where_all_engines_have_work() {
     let readers = rows(7, EngineStage::Prefill);
@@ -156,8 +157,9 @@
     assert_eq!(place_copying(&loads, &readers, 5).endpoint, home);
 }
 
-/// Two hundred entries and as many engines hardly meet twice. An entry that expects of each engine it has not measured what
-/// engines in general can do takes a wait of a second for half of one, and sends short prompts behind it.
+/// With two hundred entries and as many engines, an entry rarely uses the same engine twice. If it assumed the global
+/// default pace for engines that it has not measured, it would take a queue of one second for half a second and send
+/// short prompts behind it.
 #[test]
 fn an_engine_that_was_not_measured_is_taken_for_a_usual_one() {
     let readers = rows(3, EngineStage::Prefill);
@@ -178,13 +180,13 @@
         place.wait.as_millis()
     };
 
-    // 16,000 tokens, a tenth of a millisecond each.
+    // 16,000 tokens at 0.1 ms each.
     assert_eq!(expected(Some(0.1)), 1_600);
     assert!(expected(None) < 400);
 }
 
-/// Nobody has read the part of a long prompt yet. Taken for kept, it would count as a few tokens, and short prompts would
-/// be sent behind it and wait for a second.
+/// No engine has prefilled the part of a long prompt yet. If the part were assumed to be cached, the prompt would count
+/// as a few tokens, and short prompts would be queued behind it for a second.
 #[test]
 fn a_part_that_nobody_has_read_counts_in_full() {
     let readers = rows(7, EngineStage::Prefill);
@@ -194,8 +196,8 @@
     assert_eq!(place.unread_tokens, prompt(5, 99).prompt_tokens);
 }
 
-/// Entries that do not hear of each other in time find the same engines free, for prompts that share nothing. Taking the
-/// first in the list, all of them would send to one engine at once.
+/// Entries whose view of each other's work is out of date find the same engines idle, for prompts without shared parts.
+/// If they took the first of the list, all of them would send to one engine at once.
 #[test]
 fn prompts_without_a_home_go_to_different_engines() {
     let readers = rows(7, EngineStage::Prefill);
@@ -225,8 +227,8 @@
     assert!(chosen.len() >= 6, "{chosen:?}");
 }
 
-/// A new engine takes over a share of the parts by hash and has read none of them. It copies each from the engine that
-/// was the home before, instead of reading thousands of tokens again.
+/// A new engine becomes the home of some parts by hash and has none of them cached. It copies each from the previous
+/// home instead of prefilling thousands of tokens again.
 #[test]
 fn an_engine_that_has_joined_copies_from_the_home_before_it() {
     let all = rows(7, EngineStage::Prefill);
@@ -239,8 +241,8 @@
     assert_eq!((place.endpoint, place.copy_from), (home, Some(home_before)));
 }
 
-/// An engine is told that it will be taken away and takes no new calls, but still answers other engines for a while. What
-/// it has read is copied before it is gone.
+/// An engine that is about to be reclaimed takes no new calls but still answers other engines for a while. Its cached
+/// parts are copied before it is gone.
 #[test]
 fn parts_are_copied_from_an_engine_that_leaves() {
     let all = rows(7, EngineStage::Prefill);
@@ -252,8 +254,9 @@
     assert_eq!(place.copy_from, Some(leaving));
 }
 
-/// A domain was taken back seconds ago. Its engines are gone, but what they said last still counts, and every prompt with
-/// a part that they kept waits 300 ms for a copy that does not come. One such wait tells the entry.
+/// A failure domain was reclaimed seconds ago. Its engines are gone, but their last reports still count, and every
+/// prompt with a part that they had cached waits 300 ms for a copy that never arrives. One such wait must be enough for
+/// the entry to stop copying from the engine.
 #[test]
 fn an_engine_that_left_is_not_copied_from_once_a_copy_was_waited_for_in_vain() {
     let all = rows(7, EngineStage::Prefill);
@@ -276,7 +279,7 @@
     assert!(!is_source_lost(&staying, expected, in_vain));
 }
 
-/// The engine that kept a part has just failed. A copy from it would have to be waited for in vain.
+/// The engine that has a part cached has just failed. A prompt would wait in vain for a copy from it.
 #[test]
 fn nothing_is_copied_from_an_engine_that_has_failed() {
     let readers = rows(7, EngineStage::Prefill);
@@ -290,8 +293,8 @@
     assert_ne!(place.copy_from, Some(home));
 }
 
-/// Short questions come in the same burst as long prompts. Had they their prompts read apart, they would wait behind the
-/// long ones, for a second where their own reading takes one millisecond.
+/// Short prompts arrive in the same burst as long ones. If they were sent to a prefill engine, they would wait behind
+/// the long ones, for a second where their own prefill takes one millisecond.
 #[test]
 fn a_short_prompt_is_read_where_its_answer_is_made() {
     let shape = |tokens| PromptShape {
@@ -305,7 +308,7 @@
     assert!(!is_read_by_maker(&shape(220), None));
 }
 
-/// A prompt has no part that others share. There is nothing to copy, and any engine will do.
+/// A prompt without shared parts has nothing to copy, and any engine will do.
 #[test]
 fn a_prompt_of_its_own_is_copied_from_nowhere() {
     let readers: EngineRows = vec![(name("e"), numbered(1, "a", EngineStage::Prefill))];
