--- a/crates/acaciabay/src/ops/plan_stages.rs
+++ b/crates/acaciabay/src/ops/plan_stages.rs
@@ -1,8 +1,8 @@
-//! How many engines of a service read prompts and how many make tokens.
+//! Assignment of a service's engines to the prefill and decode stages.
 //!
-//! Reading is what a shifting mix changes by factors; making tokens needs a slot and memory for each running stream.
-//! So as many engines make tokens as the running streams need, never fewer than keep the service going when a failure
-//! domain is lost, and all others read.
+//! Decoding needs a slot and memory for each running stream, so its load follows from the streams that run. The prefill
+//! load changes by factors when the mix of requests shifts. As many engines decode as the running streams need, but never
+//! fewer than keep the service going when a failure domain is lost. All others prefill.
 
 use std::collections::BTreeMap;
 
@@ -12,56 +12,55 @@
 use crate::core::serving::stream_peak::StreamDemand;
 use crate::util::number::round_up;
 
-/// The part of an engine's slots and memory that streams may take: beyond it each token takes noticeably longer, and
-/// a burst would find no room.
+/// Fraction of an engine's slots and memory that streams may use. Above it each token takes noticeably longer, and no
+/// room is left for a burst.
 const FILL: f64 = 0.5;
 
-/// How much more than of late there may be to read a moment later. Streams grow over seconds, prompts come at once, and a
-/// change of stage takes seconds.
+/// Factor by which the prefill load may exceed its recent value. The number of streams grows over seconds, but prompts
+/// arrive all at once, and a change of stage takes seconds.
 const BURST: f64 = 2.0;
 
-/// The least number of engines of each stage, so that the loss of one engine stops nothing.
+/// Minimum number of engines in each stage, so that the loss of one engine stops neither stage.
 const LEAST_OF_STAGE: usize = 2;
 
-/// The least number of engines for each one that makes tokens, where every failure domain has one: prompts then stay in
-/// the domain in which they were read.
+/// Minimum number of engines per decode engine for every failure domain to get a decode engine of its own. A prompt is
+/// then decoded in the domain in which it was prefilled.
 const ENGINES_PER_MAKER: usize = 4;
 
-/// One engine in this many makes tokens even if few streams run: traffic that begins at once would find too few, and each
-/// change takes seconds.
+/// Number of engines per decode engine while few streams run. With fewer decode engines, a sudden start of traffic would
+/// find too few, and each change of stage takes seconds.
 const ENGINES_PER_IDLE_MAKER: usize = 16;
 
-/// An engine to change.
+/// A change of an engine's stage.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StageChange {
     /// The engine.
     pub endpoint: EndpointName,
-    /// What it is to do.
+    /// The stage that it changes to.
     pub stage: EngineStage,
 }
 
-/// What decides how many engines make tokens.
+/// The load and the engines of a service, from which the number of decode engines follows.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct StageWork {
     /// Engines that take calls.
     pub present: usize,
-    /// Engines that there are to be; some of them may not have started yet.
+    /// Engines that have been ordered, including those that have not started yet.
     pub expected: usize,
-    /// Engines that make tokens now; 0 while no call runs, when a change costs nobody anything.
+    /// Engines that decode now, or 0 while no call runs, since a change of stage then delays no call.
     pub makers: usize,
-    /// Failure domains that the engines are in.
+    /// Number of failure domains that the engines are in.
     pub domains: usize,
-    /// What the running streams take.
+    /// Slots and memory that the running streams use.
     pub demand: StreamDemand,
-    /// Engines that reading needs.
+    /// Engines that the prefill load needs.
     pub readers: f64,
 }
 
-/// Returns how many engines should make tokens.
+/// Returns how many engines should decode.
 ///
-/// Where there are fewer engines than both kinds of work need, they are shared in proportion: each engine that a burst of
-/// streams takes from reading would otherwise leave more prompts waiting, until hardly any is read in time and the makers
-/// have nothing to do.
+/// If there are fewer engines than both stages need, they are divided in proportion to the needs. Otherwise a burst of
+/// streams would take engines from prefill until hardly any prompt is prefilled in time and the decode engines run idle.
 pub fn wanted_decoders(work: &StageWork, spec: &EngineSpec) -> usize {
     let StageWork { domains, demand, .. } = work;
     let engines = work.present.max(work.expected);
@@ -87,11 +86,11 @@
     wanted.max(spared_makers(work))
 }
 
-/// Returns how many of the engines that make tokens may go on although fewer would do.
+/// Returns how many of the current decode engines may keep decoding although the streams need fewer.
 ///
-/// An engine that changes takes no calls until its longest stream has ended and the change is made, and in the next burst
-/// of streams it is missed, while all the streams become slower and the longest come too late. So only those change that
-/// reading needs, also when a failure domain is lost.
+/// An engine that changes its stage takes no calls until its longest stream has ended and the change is made. In the next
+/// burst it is missing from decode, so that all streams slow down and the longest miss their deadlines. So engines change
+/// only if prefill needs them, where the need allows for the loss of a failure domain.
 fn spared_makers(work: &StageWork) -> usize {
     let domains = work.domains.max(2) as f64;
     let readers = BURST * work.readers * domains / (domains - 1.0);
@@ -103,13 +102,14 @@
 /// An engine of the service.
 type Engine<'table> = (&'table EndpointName, &'table ServingEndpoint);
 
-/// Returns the engines to change so that `wanted` of them make tokens.
+/// Returns the changes of stage after which `wanted` engines decode.
 ///
-/// Engines that make tokens stay spread over the failure domains: the next to become one is taken where there are
-/// fewest, the next to become a reader where there are most. They are lasting ones as far as there are any: what a
-/// reclaimable reader loses when it is taken away is read again elsewhere, while a stream breaks off. Where a
-/// reclaimable engine makes tokens and a lasting one reads, the lasting one is changed first and the other is then one
-/// too many.
+/// Decode engines stay spread over the failure domains: the next one is taken from the domain with the fewest, and the
+/// next prefill engine from the domain with the most.
+///
+/// Engines that the platform cannot reclaim are preferred for decode. The prefill work of a reclaimed engine can be
+/// repeated elsewhere, but its streams break off. If a reclaimable engine decodes while another kind prefills, the latter
+/// changes first; the reclaimable one is then surplus and follows in a later plan.
 pub fn plan_stages(engines: &[Engine<'_>], wanted: usize) -> Vec<StageChange> {
     let mut decoders = of_stage(engines, EngineStage::Decode);
     let mut readers = of_stage(engines, EngineStage::Prefill);
@@ -139,7 +139,7 @@
         });
     }
     if changes.iter().any(|change| change.stage == EngineStage::Decode) {
-        // Engines go on making tokens until those that replace them can.
+        // Engines keep decoding until their replacements can.
         changes.retain(|change| change.stage == EngineStage::Decode);
     }
     changes
--- a/crates/acaciabay/tests/serving/stages.rs
+++ b/crates/acaciabay/tests/serving/stages.rs
@@ -1,4 +1,4 @@
-//! Which engines read and which make tokens.
+//! Tests of the assignment of engines to the prefill and decode stages.
 
 use acaciabay::core::name::EndpointName;
 use acaciabay::core::serving::endpoint_registry::{EngineStage, ServingEndpoint};
@@ -58,8 +58,9 @@
     assert_eq!(wanted(264, 4, 0.0, 0.0), 16);
 }
 
-/// Two of three domains were taken back in a burst, and eight engines are left for the work of eleven. The streams that
-/// run would fill six of them; with two left to read, every prompt would wait for a second, and most be refused.
+/// Guards against a burst of streams starving prefill. The platform has reclaimed two of three domains, and eight engines
+/// are left for the work of eleven. The running streams would fill six of them; with two left for prefill, every prompt
+/// would wait for a second and most would be refused.
 #[test]
 fn too_few_engines_are_shared_between_reading_and_making() {
     let makers = wanted(8, 3, 162.0, 5.5);
@@ -67,8 +68,9 @@
     assert!((3..=4).contains(&makers), "{makers}");
 }
 
-/// A burst of streams has passed, and nine of eighteen engines make tokens where three would do. Reading has all that it
-/// needs; taken from the streams, the engines would be missing in the next burst, and its longest answers come too late.
+/// Guards against needless changes of stage after a burst. Nine of eighteen engines decode where three would do, and
+/// prefill has all the engines that it needs. Engines taken from decode now would be missing in the next burst, and its
+/// longest answers would miss their deadlines.
 #[test]
 fn makers_that_reading_does_not_need_go_on() {
     let spared = |readers| {
@@ -84,7 +86,8 @@
     assert_eq!(spared(8.0), 3);
 }
 
-/// The same burst while engines that were ordered have not started yet: those that are to come do no work.
+/// Guards against counting engines that were ordered but have not started: eight are present for the same load as in
+/// `too_few_engines_are_shared_between_reading_and_making`, and eighteen are expected.
 #[test]
 fn engines_that_have_not_started_do_no_work() {
     let work = StageWork {
@@ -95,8 +98,8 @@
     assert!(wanted_decoders(&work, &engine()) <= 4);
 }
 
-/// Engines of a service are replaced by new ones that all make tokens. If that stayed, the few that read would have all
-/// prompts waiting before them.
+/// Guards against too many decode engines after a replacement of engines whose successors all start in the decode stage:
+/// all prompts would queue at the few prefill engines.
 #[test]
 fn surplus_makers_become_readers_where_there_are_most() {
     let rows = vec![
@@ -113,8 +116,8 @@
     assert_eq!(changes[0].1, EngineStage::Prefill);
 }
 
-/// The engine that makes the tokens may be taken away at short notice, with every stream on it, while one that stays
-/// reads prompts. The one that stays is changed first, and the other goes on until then.
+/// Guards against streams on an engine that the platform may reclaim at short notice while one that it cannot reclaim
+/// prefills. The latter changes to decode first, and the reclaimable engine keeps decoding until then.
 #[test]
 fn lasting_engines_make_the_tokens() {
     let rows = vec![
@@ -126,7 +129,7 @@
     assert_eq!(plan(&rows, 1), [("e2".to_owned(), EngineStage::Decode)]);
 }
 
-/// Streams come in bursts. If the engines followed each of them, they would be changing their stage for most of the time.
+/// Guards against engines that follow every burst of streams and spend most of their time changing stage.
 #[test]
 fn a_peak_fades_slowly() {
     let mut peak = StreamPeak::default();
@@ -152,8 +155,8 @@
 proptest! {
     #![proptest_config(fixed_cases())]
 
-    /// Carried out again and again, plans come to rest at the wanted number, and never take the last maker away before
-    /// another one makes tokens.
+    /// Repeated plans converge to the wanted number of decode engines, and never remove the last one before another one
+    /// decodes.
     #[test]
     fn plans_come_to_rest(mut rows in rows_strategy(), wanted in 1_usize..4) {
         let wanted = wanted.min(rows.len() - 1);
