--- a/crates/acaciabay/src/ops/fill_gap.rs
+++ b/crates/acaciabay/src/ops/fill_gap.rs
@@ -1,8 +1,9 @@
-//! Which lasting endpoints stand in for reclaimable ones that the platform does not give.
+//! Replacement of refused reclaimable endpoints by on-demand ones.
 //!
-//! The platform takes all reclaimable endpoints of a failure domain at once, often in a burst, and may refuse others for
-//! ten seconds and more. Lasting ones start within seconds. They are ordered where there is room, evenly, so that room is
-//! left for reclaimable ones when these can be had again; the plan for calm times then gives them back.
+//! The platform reclaims all reclaimable endpoints of a failure domain at once, often in several domains in a row, and may
+//! refuse new ones for ten seconds or more. On-demand endpoints (`lasting` in the code) start within seconds. They are
+//! ordered evenly over the domains that have room, so that room is left for reclaimable ones once they are available
+//! again. The regular plan then releases them.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +11,7 @@
 use crate::core::serving::config::PoolSpec;
 use crate::ops::plan_pool::{DomainPool, LOST_DOMAINS, PoolView};
 
-/// Returns what is wanted in each failure domain while the platform refuses some of it.
+/// Returns the wanted endpoints of each failure domain, with on-demand ones in place of those that the platform refuses.
 pub fn fill_gap(
     spec: &PoolSpec,
     wanted: &BTreeMap<DomainName, DomainPool>,
@@ -38,10 +39,10 @@
     filled
 }
 
-/// Returns how many of the endpoints that are left cannot be counted on.
+/// Returns how many of the remaining endpoints are at risk and must not be counted on.
 ///
-/// While the platform refuses as many domains as the plan holds a reserve for, that reserve is used up: the loss of one
-/// more domain would leave only what is filled now, since lasting endpoints take seconds to start.
+/// Once the platform refuses as many domains as the plan holds a reserve for, that reserve is used up. If one more domain
+/// were lost, only the replacements ordered now would be there, since on-demand endpoints take seconds to start.
 fn endangered_endpoints(coming: &BTreeMap<&DomainName, DomainPool>, view: &PoolView) -> u32 {
     let refused = u32::try_from(view.refused.len()).unwrap_or(u32::MAX);
     if refused < LOST_DOMAINS {
@@ -51,7 +52,7 @@
     left.map(|(_, pool)| pool.reclaimable).max().unwrap_or(0)
 }
 
-/// Returns what a failure domain will have once the orders of the plan are carried out.
+/// Returns the endpoints that a failure domain will have once the orders of the plan are carried out.
 fn coming_pool(domain: &DomainName, want: DomainPool, view: &PoolView) -> DomainPool {
     let have = view.present.get(domain).copied().unwrap_or_default();
     let reclaimable = if view.refused.contains(domain) {
--- a/crates/acaciabay/src/ops/plan_pool.rs
+++ b/crates/acaciabay/src/ops/plan_pool.rs
@@ -1,8 +1,9 @@
-//! How many endpoints of a service are ordered in each failure domain, and of which kind.
+//! Capacity planning for a service: the number and kind of endpoints to order in each failure domain.
 //!
-//! A reclaimable endpoint costs a fraction of another, but the platform may take all of them in one failure domain away
-//! within seconds, and may then have no others for a while. So a floor of endpoints that stay is kept in every domain,
-//! and so many reclaimable ones beside it that the loss of all in two domains leaves what the work needs.
+//! An on-demand endpoint (`lasting` in the code) stays until it is released. A reclaimable one costs a fraction of that,
+//! but the platform may reclaim all of them in a failure domain within seconds and then have no replacements for a while.
+//! So every domain keeps a minimum of on-demand endpoints, and enough reclaimable ones that losing those of two domains
+//! leaves what the load needs.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,33 +11,33 @@
 use crate::core::serving::config::PoolSpec;
 use crate::util::number::round_up;
 
-/// Endpoints of one failure domain by kind.
+/// Endpoint counts of one failure domain by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DomainPool {
-    /// Those that stay until they are given back.
+    /// On-demand endpoints, which stay until they are released.
     pub lasting: u32,
-    /// Those that the platform may take away.
+    /// Endpoints that the platform may reclaim.
     pub reclaimable: u32,
 }
 
 impl DomainPool {
-    /// Returns how many there are of both kinds.
+    /// Returns the number of endpoints of both kinds.
     pub const fn total(self) -> u32 {
         self.lasting + self.reclaimable
     }
 }
 
-/// The part of what the work needs that lasting endpoints bear where reclaimable ones are to be had: enough to go on,
-/// slowly, while the platform has taken back those of two domains and has no others.
+/// Fraction of the needed endpoints that are on-demand where reclaimable ones are worthwhile. It is enough for a slow
+/// service while the platform has reclaimed those of two domains and has no replacements.
 const LASTING_PART: f64 = 0.14;
-/// The price up to which reclaimable endpoints are worth their reserve: with three domains up to three times as many are
-/// paid as the work needs.
+/// Highest price, relative to an on-demand endpoint, at which reclaimable endpoints are worth their reserve. With three
+/// domains, up to three times as many are paid for as the load needs.
 const WORTHWHILE_PRICE: f64 = 0.3;
-/// How many domains may lose all their reclaimable endpoints before others can be had: the platform takes them back in
-/// one domain after the other within seconds, and has none for ten seconds and more.
+/// Number of domains that may lose all their reclaimable endpoints before replacements are available. The platform
+/// reclaims them in one domain after another within seconds, and has no replacements for ten seconds or more.
 pub(super) const LOST_DOMAINS: u32 = 2;
 
-/// Returns how many endpoints are wanted in each failure domain when the work needs `needed` of them.
+/// Returns the wanted endpoints of each failure domain for a load that needs `needed` endpoints in all.
 pub fn plan_pool(spec: &PoolSpec, domains: &[DomainName], needed: u32) -> BTreeMap<DomainName, DomainPool> {
     let count = u32::try_from(domains.len()).unwrap_or(u32::MAX).max(1);
     let is_worthwhile = spec.reclaimable_price.is_some_and(|price| price <= WORTHWHILE_PRICE);
@@ -66,7 +67,7 @@
     pools
 }
 
-/// Spreads endpoints evenly over the failure domains, the odd ones to the cheapest.
+/// Spreads endpoints evenly over the failure domains, with the remainder in the cheapest ones.
 fn spread(spec: &PoolSpec, domains: &[DomainName], needed: u32) -> Vec<(DomainName, u32)> {
     let price = |domain: &DomainName| spec.domain_prices.get(domain).copied().unwrap_or(1.0);
     let mut by_price: Vec<_> = domains.to_vec();
@@ -79,54 +80,54 @@
         .collect()
 }
 
-/// What decides which orders are given now.
+/// The state of a service from which [`plan_pool_changes`] and [`fill_gap`](crate::ops::fill_gap) plan orders.
 #[derive(Clone, Debug, Default)]
 pub struct PoolView {
-    /// Endpoints by failure domain that take calls.
+    /// Endpoints that take calls, by failure domain.
     pub present: BTreeMap<DomainName, DomainPool>,
-    /// Reclaimable endpoints by failure domain that the platform has agreed to.
+    /// Reclaimable endpoints that the platform has agreed to provide, by failure domain.
     pub agreed: BTreeMap<DomainName, u32>,
-    /// Failure domains in which the platform has lately refused reclaimable endpoints.
+    /// Failure domains in which the platform has recently refused reclaimable endpoints.
     pub refused: BTreeSet<DomainName>,
-    /// Endpoints that the work needs.
+    /// Endpoints that the load needs. This value falls only after a delay.
     pub needed: u32,
-    /// Endpoints that the work of the last seconds needs, without what is held beside them.
+    /// Endpoints that the load of the last few seconds needs, without any reserve.
     pub needed_now: u32,
-    /// Endpoints that serve: present, and not carrying out an order.
+    /// Endpoints that are present and not carrying out an order.
     pub serving: u32,
-    /// Whether no call has come yet.
+    /// True until the first call.
     pub is_idle: bool,
-    /// Whether all endpoints have reported, so that fewer may be ordered than were before.
+    /// True once all endpoints have reported, so that an order for fewer is based on a full count.
     pub may_shrink: bool,
-    /// Whether endpoints may be given back now; after each time some are, a while has to pass.
+    /// True if on-demand endpoints may be released now. After each release a pause follows.
     pub may_give_back: bool,
 }
 
 impl PoolView {
-    /// Returns how many lasting endpoints there are in a failure domain.
+    /// Returns the number of on-demand endpoints in a failure domain.
     pub fn lasting(&self, domain: &DomainName) -> u32 {
         self.present.get(domain).map_or(0, |pool| pool.lasting)
     }
 }
 
-/// An order to give.
+/// A change of the number of endpoints of one kind in one failure domain, to be ordered from the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PoolChange {
-    /// Where.
+    /// The failure domain.
     pub domain: DomainName,
-    /// Of which kind.
+    /// True for reclaimable endpoints, false for on-demand ones.
     pub reclaimable: bool,
-    /// How many there are to be.
+    /// The total number of endpoints of this kind after the change.
     pub desired: u32,
-    /// Whether lasting endpoints are given back.
+    /// True if the change releases on-demand endpoints.
     pub gives_back: bool,
 }
 
-/// Returns the orders that lead from what is there to what is wanted.
+/// Returns the orders that lead from the present endpoints to the wanted ones.
 ///
-/// Which endpoints the platform takes back is its choice, and may be the very ones that make the tokens. So lasting ones
-/// are given back in one failure domain at a time, and only once so many others serve that the work can do without;
-/// before the first call all at once, since nobody is served meanwhile.
+/// The platform chooses the endpoints that it removes, and may choose the decode engines. So on-demand endpoints are
+/// released in one failure domain at a time, and only if the endpoints that remain can carry the load. Before the first
+/// call they are released in all domains at once, since no caller is affected.
 pub fn plan_pool_changes(
     spec: &PoolSpec,
     wanted: &BTreeMap<DomainName, DomainPool>,
@@ -145,7 +146,7 @@
             lacking.share
         };
         let reclaimable = want.reclaimable.saturating_add(share).min(room);
-        // Nothing is given up in one domain while another lacks what it should have, nor while the work needs it.
+        // A domain keeps its reclaimable endpoints while another domain lacks some, or while the load needs them.
         let given_up = have.reclaimable.saturating_sub(reclaimable);
         let may_shrink = view.may_shrink && lacking.count == 0 && given_up <= dispensable;
         if reclaimable > have.reclaimable {
@@ -172,9 +173,10 @@
     changes
 }
 
-/// Returns how many endpoints can be done without. Under a shortage that is none, whatever the plan says: the kinds that
-/// it would exchange for each other take seconds to start, and callers would wait for them. Before the first call nobody
-/// does.
+/// Returns how many endpoints may be removed without affecting callers.
+///
+/// During a shortage the result is 0, whatever the plan says: replacing one kind by the other takes seconds, and callers
+/// would wait meanwhile. Before the first call there is no limit, since nobody waits.
 const fn dispensable_endpoints(view: &PoolView) -> u32 {
     if view.is_idle {
         u32::MAX
@@ -183,12 +185,12 @@
     }
 }
 
-/// What the platform does not give where it is wanted.
+/// Reclaimable endpoints that are missing in the failure domains where the platform has refused them.
 #[derive(Clone, Copy, Debug, Default)]
 struct LackingEndpoints {
-    /// How many there are in all.
+    /// The total over these domains.
     count: u32,
-    /// How many more each domain in which it has not refused any should have.
+    /// The number of additional endpoints that each of the other domains should have in their place.
     share: u32,
 }
 
--- a/crates/acaciabay/tests/serving/pools.rs
+++ b/crates/acaciabay/tests/serving/pools.rs
@@ -1,4 +1,4 @@
-//! How many endpoints are ordered.
+//! Tests of the number and kind of endpoints that are ordered.
 
 use std::collections::BTreeMap;
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// Without a price that makes it worthwhile, nothing that can be taken away is ordered.
+/// Guards against ordering reclaimable endpoints that no low price makes worthwhile.
 #[test]
 fn endpoints_last_where_others_are_not_cheaper() {
     let wanted = plan_pool(&pool(6, None), &domains(&["a", "b", "c"]), 10);
@@ -43,8 +43,8 @@
     assert!(wanted.values().all(|pool| pool.reclaimable == 0));
 }
 
-/// Which endpoints the platform takes back is its choice, and may be all that make tokens. Given back in all domains at
-/// once while calls come, callers would find no engine until others have changed their stage.
+/// Guards against a release in all domains at once. The platform chooses the endpoints that it removes and may choose all
+/// decode engines; callers would then find none until other engines have changed their stage.
 #[test]
 fn lasting_endpoints_are_given_back_one_domain_at_a_time() {
     let view = busy(both(3, 3), 9, 18);
@@ -54,8 +54,8 @@
     assert_eq!(changes.iter().filter(|change| change.gives_back).count(), 1);
 }
 
-/// The platform has taken back all reclaimable endpoints of one domain and has no others there, while the work has become
-/// less. Given up elsewhere by the plan for calm times, as many again would be gone in the same moment.
+/// Guards against shrinking other domains after the platform has reclaimed all endpoints of one. The load has fallen, so
+/// the regular plan would remove as many endpoints again at the same moment.
 #[test]
 fn nothing_shrinks_while_a_domain_lacks_endpoints() {
     let mut view = busy(both(1, 9), 9, 21);
@@ -71,7 +71,7 @@
     );
 }
 
-/// One domain has none to give. The others are asked for what it lacks.
+/// Guards against a loss of capacity when one domain has no reclaimable endpoints: the others are asked for the shortfall.
 #[test]
 fn other_domains_make_up_for_a_refusal() {
     let mut view = busy(both(1, 6), 9, 15);
@@ -87,9 +87,9 @@
     assert_eq!(desired, [("a", 9), ("b", 6), ("c", 9)]);
 }
 
-/// A burst comes while one domain has just lost its reclaimable endpoints. The plan for so much work wants more lasting
-/// endpoints and fewer reclaimable ones; given back before the lasting ones serve, the reclaimable ones are missed at the
-/// peak, and callers are turned away for seconds.
+/// Guards against removing reclaimable endpoints before their on-demand replacements serve. A burst arrives just after one
+/// domain has lost its reclaimable endpoints, and the plan for that load wants more on-demand and fewer reclaimable ones.
+/// Without the latter at the peak, callers are refused for seconds.
 #[test]
 fn kinds_are_not_exchanged_while_fewer_serve_than_are_needed() {
     let mut view = busy(both(1, 5), 31, 13);
@@ -105,8 +105,8 @@
     );
 }
 
-/// The work has become less, and every domain has two endpoints too many. Given back everywhere at once, more than the
-/// surplus would be gone.
+/// Guards against removing more than the surplus: the load has fallen, every domain has two endpoints too many, and a
+/// removal in all of them at once would exceed what can be spared.
 #[test]
 fn no_more_reclaimable_endpoints_are_given_back_than_can_be_spared() {
     let view = busy(both(1, 5), 15, 18);
@@ -116,9 +116,9 @@
     assert_eq!(changes.len(), 1, "{changes:?}");
 }
 
-/// Two of three domains are taken back in a burst, and the platform has no others to give for ten seconds. Lasting ones
-/// start in four; without them eight endpoints do the work of twelve, and callers are turned away until the platform has
-/// reclaimable ones again.
+/// Guards against refused calls while the platform has nothing to offer. It reclaims two of three domains in a row and has
+/// no reclaimable endpoints for ten seconds; on-demand ones start in four. Without them, eight endpoints do the work of
+/// twelve, and callers are refused until reclaimable ones are available again.
 #[test]
 fn lasting_endpoints_fill_what_the_platform_refuses() {
     let mut view = busy(both(1, 0), 9, 8);
@@ -127,12 +127,12 @@
 
     let wanted = fill_gap(&pool(6, Some(0.15)), &same(both(1, 5)), &view);
 
-    // The five reclaimable ones that are left may be taken back as well.
+    // The platform may also reclaim the five endpoints that are left in domain a.
     let lasting: Vec<u32> = wanted.values().map(|pool| pool.lasting).collect();
     assert_eq!(lasting, [1, 4, 4]);
 }
 
-/// One of three domains is taken back and more is asked than the rest can do.
+/// Guards against a shortage when the platform reclaims one of three domains and the load exceeds what the others carry.
 #[test]
 fn one_refused_domain_is_filled_as_far_as_the_work_needs() {
     let mut view = busy(both(1, 4), 12, 11);
@@ -145,7 +145,7 @@
     assert_eq!(lasting, [1, 2, 1]);
 }
 
-/// One domain is refused, and the others have what the work needs: nothing is paid for in its place.
+/// Guards against paying for replacements when one domain is refused but the others carry the load.
 #[test]
 fn a_refusal_that_is_not_missed_is_not_filled() {
     let mut view = busy(both(1, 5), 12, 13);
@@ -165,8 +165,8 @@
     assert!(changes.iter().all(|change| change.reclaimable && change.desired == 3));
 }
 
-/// Before the first call nobody is served, and all are given back at once, provided that the platform has agreed to what
-/// takes their place.
+/// Guards against a slow or early release before the first call. No caller is affected then, so on-demand endpoints are
+/// released in all domains at once, but only after the platform has agreed to their replacements.
 #[test]
 fn an_idle_system_gives_back_at_once() {
     let idle = PoolView {
@@ -223,8 +223,8 @@
     assert!(!need.is_measured());
 }
 
-/// The leader dies in the middle of a day, and another one plans. Taken for a system that has just started, the endpoints
-/// would get a reserve once more with every leader, and be paid for until the next calm.
+/// Guards against a start-up reserve after each change of leader. A leader that takes over while calls run would otherwise
+/// treat the system as just started and add a reserve, which is paid for until the load falls.
 #[test]
 fn a_later_leader_adds_no_reserve() {
     let mut need = ReadingNeed::default();
@@ -237,8 +237,8 @@
 proptest! {
     #![proptest_config(fixed_cases())]
 
-    /// The platform takes back all reclaimable endpoints of any two domains, and what is left does the work, as far as the
-    /// limits allow; no domain exceeds them.
+    /// After the platform reclaims all reclaimable endpoints of any two domains, the rest carries the load as far as the
+    /// limits allow, and no domain exceeds its limit.
     #[test]
     fn the_loss_of_two_domains_leaves_what_is_needed(needed in 0_u32..60, most in 2_u32..20) {
         let names = domains(&["a", "b", "c"]);
