--- a/crates/acaciabay/src/ops/place_call.rs
+++ b/crates/acaciabay/src/ops/place_call.rs
@@ -1,6 +1,6 @@
-//! Which endpoint makes the tokens of a call or answers it whole.
+//! Choice of the endpoint that decodes a stream or answers a plain call.
 //!
-//! Once a prompt is read ([`place_prompt`](crate::ops::place_prompt)), its tokens are made where few calls run
+//! Once a prompt is prefilled ([`place_prompt`](crate::ops::place_prompt)), it is decoded by an engine with few calls
 //! ([`place_stream`]), preferably in the failure domain of the engine that holds the prompt. A plain call goes to the
 //! endpoint with the most free slots ([`place_plain`]).
 
@@ -13,10 +13,10 @@
 /// An endpoint that may be chosen.
 pub type Candidate<'table> = (&'table EndpointName, &'table ServingEndpoint);
 
-/// What placing looks at.
+/// The state of an entry on which placement is based.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementView<'table> {
-    /// The present time.
+    /// The current time.
     pub now: BootTime,
     /// The failure domain of the entry.
     pub domain: &'table DomainName,
@@ -24,19 +24,21 @@
     pub loads: &'table LoadTable,
 }
 
-/// What speaks against an endpoint beside its load, as a part of its slots: in another failure domain the prompt takes
-/// twice as long on its way there; a recent failure costs more than all slots.
+/// Penalties added to an endpoint's load, in fractions of its slots. A prompt takes twice as long to reach another failure
+/// domain. A recent failure counts more than a full endpoint.
 const SLOT_PENALTY: EndpointPenalty = EndpointPenalty {
     other_domain: 0.15,
     suspect: 8.0,
 };
 
-/// How far apart engines may be, as a part of their slots, and still be equally good for a stream: entries hear of each
-/// other's streams a moment late, and would meanwhile all choose the one with the fewest.
+/// Range of the random term added to an engine's load, as a fraction of its slots. Entries learn of each other's streams
+/// with a delay, and without this term all of them would meanwhile choose the engine with the fewest streams.
 const STREAM_SPREAD: f64 = 0.1;
 
-/// Chooses where tokens are made. `reader_domain` is where the prompt was read, if it was read elsewhere; `draw` spreads
-/// calls over engines that are equally good.
+/// Chooses the engine that decodes a stream.
+///
+/// `reader_domain` is the failure domain in which another engine has prefilled the prompt, if any. `draw` is a random
+/// number that spreads calls over engines with nearly equal load.
 pub fn place_stream(
     view: &PlacementView<'_>,
     candidates: &[Candidate<'_>],
@@ -60,12 +62,12 @@
     best.map(|(_, name)| name.clone())
 }
 
-/// Returns a number that is drawn anew for each call and endpoint.
+/// Returns a pseudorandom number for one call and one endpoint.
 fn drawn(draw: u64, name: &EndpointName) -> u64 {
     rendezvous::combine(draw, rendezvous::seed(name.as_str().as_bytes()))
 }
 
-/// Chooses where a plain call goes; `draw` spreads calls over endpoints that are equally good.
+/// Chooses the endpoint for a plain call. `draw` is a random number that spreads calls over endpoints with equal load.
 pub fn place_plain(view: &PlacementView<'_>, candidates: &[Candidate<'_>], draw: u64) -> Option<EndpointName> {
     let scored = candidates.iter().map(|candidate| {
         let (name, endpoint) = *candidate;
@@ -78,17 +80,17 @@
     best.map(|(_, _, name)| name.clone())
 }
 
-/// What speaks against an endpoint beside its load, in the unit in which its load is counted.
+/// Penalties added to the load of an endpoint, in the unit of that load.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EndpointPenalty {
-    /// It is in another failure domain than the one wanted.
+    /// Penalty for an endpoint outside the preferred failure domain.
     pub(super) other_domain: f64,
-    /// It has failed lately.
+    /// Penalty for an endpoint that has failed recently.
     pub(super) suspect: f64,
 }
 
 impl EndpointPenalty {
-    /// Returns what speaks against an endpoint when one in `wanted` would be best.
+    /// Returns the total penalty of an endpoint if `wanted` is the preferred failure domain.
     pub(super) fn of(self, view: &PlacementView<'_>, (name, endpoint): Candidate<'_>, wanted: &DomainName) -> f64 {
         let is_far = endpoint.domain != *wanted;
         let is_suspected = view.loads.is_suspected(view.now, name);
--- a/crates/acaciabay/src/ops/place_prompt.rs
+++ b/crates/acaciabay/src/ops/place_prompt.rs
@@ -1,8 +1,9 @@
-//! Which engine reads a prompt, and from which other engine it copies what was read before.
+//! Choice of the engine that prefills a prompt, and of the engine from which it copies cached parts.
 //!
-//! Reading a shared part of thousands of tokens takes an engine hundreds of milliseconds, copying its memory from an
-//! engine that keeps it about ten. Entries agree by hash on the home of each shared part without talking to each other.
-//! A prompt is read there or, when others have less before them, at another engine that copies the part from its home.
+//! Prefilling a shared part of thousands of tokens takes an engine hundreds of milliseconds; copying its memory from an
+//! engine that caches it takes about ten. Rendezvous hashing gives each shared part a home engine on which all entries
+//! agree without communication. A prompt is prefilled there or, if other engines have shorter queues, at one of them,
+//! which copies the part from its home.
 
 use std::time::Duration;
 
@@ -14,89 +15,91 @@
 use crate::util::number::round_up;
 use crate::util::rendezvous;
 
-/// How sure an entry is that an engine still keeps what it has read: its memory may have had to make room since.
+/// Estimated probability that an engine still caches a part that it has prefilled and has not evicted it since.
 const COPY_TRUST: f64 = 0.95;
 
-/// How much a token that has to be read counts against one that waits before it: reading a shared part once more takes
-/// time from every prompt that comes after, not only from this one.
+/// Weight of a token that this prompt adds relative to a token that is already queued. Prefilling a shared part again
+/// delays every later prompt, not only this one.
 const READ_WEIGHT: f64 = 8.0;
 
-/// How many engines share the prompts of one part: the home and those that follow it by hash. A few are enough to even
-/// queues out, and each further one keeps the part once more.
+/// Number of engines that share the prompts of one part: the first home and the next ones by hash. A few are enough to
+/// balance the queues, and each additional one stores another copy of the part.
 const HOMES: usize = 3;
 
-/// What another home than the first costs in the choice of a reader, in milliseconds of its queue. A part is copied only
-/// from where it was read before: if its first readers scatter, several read it before any can copy it.
+/// Cost of a home other than the first in the choice of a prefill engine, in milliseconds of its queue. A part can be
+/// copied only once an engine has prefilled it. If the first prompts with a part were scattered, several engines would
+/// prefill it before any could copy it.
 const OTHER_HOME_MS: f64 = 800.0;
 
-/// What an engine costs that is no home of the part, in milliseconds: about as long as callers wait, so that it is used
-/// when all homes are overloaded.
+/// Cost of an engine that is no home of the part, in milliseconds. It is about the time that callers wait, so that such an
+/// engine is used only when all homes are overloaded.
 const NO_HOME_MS: f64 = 3_000.0;
 
-/// What an engine costs that has to copy a part which is known to be kept elsewhere, in milliseconds where every reader
-/// has work: each copy leaves less memory for other parts, which are then read again by engines that have no time.
+/// Cost of an engine that must copy a part known to be cached elsewhere, in milliseconds, when every prefill engine is
+/// busy. Each copy evicts other parts, which busy engines then have to prefill again. The cost is scaled by the fraction
+/// of prefill engines that are busy.
 const KEPT_ELSEWHERE_MS: f64 = 800.0;
 
-/// The least part of that which counts, also where hardly a reader has work.
+/// Minimum of the busy fraction by which [`KEPT_ELSEWHERE_MS`] is scaled, also if hardly any prefill engine is busy.
 const LEAST_CROWDING: f64 = 0.1;
 
-/// How far apart engines are that are equally good, in milliseconds: entries that do not hear of each other in time
-/// would else all choose the same one.
+/// Range of the hash-based term that separates engines of equal cost, in milliseconds. Without it, entries that do not
+/// learn of each other's calls in time would all choose the same engine.
 const TIE_MS: f64 = 10.0;
 
-/// What a copy takes beside the time on the link, in milliseconds, the middle of current engines.
+/// Fixed time of a copy beside the transfer itself, in milliseconds: a median of current engines.
 const COPY_SETUP_MS: f64 = 4.0;
 
-/// How much longer a copy from another failure domain takes; the users' protocol says so.
+/// Ratio of the transfer time from another failure domain to that within a domain, as the users' protocol specifies.
 const FAR_COPY_FACTOR: f64 = 2.0;
 
-/// What speaks against a reader beside its queue, in milliseconds: in another failure domain the way there and back; after
-/// a failure more than any queue that callers wait for, so that it is used only if there is no other.
+/// Penalties added to the queue of a prefill engine, in milliseconds. Another failure domain costs the round trip. A recent
+/// failure costs more than any queue that callers wait for, so that the engine is used only if there is no other.
 const READER_PENALTY: EndpointPenalty = EndpointPenalty {
     other_domain: 3.0,
     suspect: 60_000.0,
 };
 
-/// The engines of a service that a prompt is placed at.
+/// The engines of a service among which a prompt is placed.
 #[derive(Clone, Copy, Debug)]
 pub struct PromptEngines<'table> {
-    /// Those that read prompts.
+    /// Engines that prefill prompts.
     pub readers: &'table [Candidate<'table>],
-    /// Those that may keep parts of prompts: readers, and readers that leave but still answer others.
+    /// Engines that may cache parts of prompts: prefill engines, and those that are leaving but still serve copies.
     pub keepers: &'table [Candidate<'table>],
-    /// How many milliseconds one of them usually takes for a token of a prompt, if that is known.
+    /// Usual prefill time per prompt token in milliseconds, if known.
     pub pace: Option<f64>,
-    /// How they copy memory to each other; without it everything is read where it is needed.
+    /// The link over which engines copy memory to each other. Without one, each engine prefills all parts itself.
     pub link: Option<&'table MemoryLink>,
 }
 
-/// Where a prompt is read.
+/// The engine chosen to prefill a prompt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PromptPlace {
-    /// The endpoint.
+    /// The name of the engine.
     pub endpoint: EndpointName,
-    /// Tokens that it has to read for this prompt.
+    /// Tokens of this prompt that it has to prefill.
     pub unread_tokens: u64,
-    /// How long it will take until it has read the prompt.
+    /// Estimated time until the prompt is prefilled.
     pub wait: Duration,
-    /// An engine that probably keeps shared parts which the endpoint lacks.
+    /// An engine that probably caches shared parts that the chosen engine lacks.
     pub copy_from: Option<EndpointName>,
 }
 
-/// How much longer than expected a prompt that was to be copied may take before its source counts as gone. An engine
-/// that waits for a copy in vain loses a few hundred milliseconds, then reads by itself.
+/// Time beyond the estimate after which the source of a copy counts as gone. An engine that waits in vain for a copy loses
+/// a few hundred milliseconds and then prefills the part itself.
 const LOST_SOURCE_DELAY: Duration = Duration::from_millis(150);
 
-/// Tells whether the engine that a prompt was copied from is probably gone, by how long the prompt took.
+/// Returns `true` if the source of a copy is probably gone, judged by the time that the prompt took.
 ///
-/// An engine that leaves is copied from until it is gone, and its last word is believed for seconds after that: meanwhile
-/// every prompt that is sent for its parts would wait in vain. A source that stays is not judged so, since the reader may
-/// have been slow.
+/// A leaving engine serves copies until it is gone, and its last report stays valid for seconds after that. Meanwhile every
+/// prompt that is to copy from it would wait in vain. A source that is not leaving is never taken for gone here, since the
+/// prefill engine itself may have been slow.
 pub fn is_source_lost(source: &ServingEndpoint, expected: Duration, took: Duration) -> bool {
     source.phase != EndpointPhase::Ready && took > expected + LOST_SOURCE_DELAY
 }
 
-/// Chooses where a prompt is read.
+/// Chooses the engine that prefills a prompt.
 pub fn place_prompt(
     view: &PlacementView<'_>,
     engines: &PromptEngines<'_>,
@@ -119,8 +122,8 @@
     })
 }
 
-/// Returns which part of the readers has work, from 0 to 1: how likely it is that what one of them does beside keeps
-/// another prompt waiting.
+/// Returns the fraction of prefill engines that are busy, from [`LEAST_CROWDING`] to 1. It approximates the probability
+/// that extra work on one of them delays another prompt.
 fn crowding(view: &PlacementView<'_>, readers: &[Candidate<'_>]) -> f64 {
     let busy = readers
         .iter()
@@ -129,12 +132,12 @@
     part.max(LEAST_CROWDING)
 }
 
-/// The engines on which entries agree for a shared part, the first one first.
+/// The home engines of a shared part in the order of their hashes, on which all entries agree.
 #[derive(Debug)]
 struct PartHomes<'table> {
     key: [u8; 8],
     ranked: Vec<&'table EndpointName>,
-    /// Which part of the readers has work.
+    /// The fraction of prefill engines that are busy.
     crowding: f64,
 }
 
@@ -158,12 +161,12 @@
         }
     }
 
-    /// Returns what tells engines apart that are equally good, in milliseconds.
+    /// Returns the term that separates engines of equal cost, in milliseconds.
     fn tie_ms(&self, name: &EndpointName) -> f64 {
         TIE_MS * hash_rank(&self.key, name) as f64 / u64::MAX as f64
     }
 
-    /// Returns what it costs to read the part at an engine for being none of its homes, in milliseconds.
+    /// Returns the cost of an engine that is not the first home of the part, in milliseconds.
     fn penalty_ms(&self, name: &EndpointName) -> f64 {
         match self.ranked.iter().position(|home| *home == name) {
             Some(0) => 0.0,
@@ -178,9 +181,10 @@
     rendezvous::score(key, name.as_str().as_bytes())
 }
 
-/// The two engines that most probably keep the shared parts of a prompt: those that this entry has had read them, else
-/// the first by hash. Where the home has just joined, the second is the home before it; one that has just begun to leave
-/// is still asked.
+/// The two engines that most probably cache the shared parts of a prompt.
+///
+/// Engines to which this entry has sent these parts come first, then the others in the order of their hashes. If the home
+/// has just joined, the second engine is its predecessor. An engine that has just begun to leave is still considered.
 #[derive(Clone, Copy, Debug, Default)]
 struct LikelyKeepers<'table> {
     first: Option<Candidate<'table>>,
@@ -215,13 +219,13 @@
         }
     }
 
-    /// Returns the more probable one that is not `reader` itself.
+    /// Returns the more probable engine other than `reader`.
     fn beside(&self, reader: &EndpointName) -> Option<Candidate<'table>> {
         self.first.filter(|(name, _)| *name != reader).or(self.second)
     }
 }
 
-/// What reading a prompt at one engine takes, and what it counts as in the choice.
+/// Estimated prefill work and time of a prompt at one engine, and the cost by which engines are compared.
 #[derive(Clone, Copy, Debug)]
 struct ReadEstimate {
     unread_tokens: f64,
--- a/crates/acaciabay/tests/serving/placement.rs
+++ b/crates/acaciabay/tests/serving/placement.rs
@@ -1,4 +1,4 @@
-//! Where tokens are made and plain calls go.
+//! Tests of the choice of endpoints for streams and plain calls.
 
 use std::collections::BTreeMap;
 
@@ -38,8 +38,9 @@
     assert_ne!(near(&loads), Some(name("e2")));
 }
 
-/// Two hundred entries have a stream to place in the same quarter of a second, and none has heard of the others'. Sent to
-/// the engine with the fewest streams, all of them would fill its slots while its neighbours are free.
+/// Guards against many entries choosing the same engine. Two hundred entries place a stream within the same quarter of a
+/// second, before they learn of each other's streams. If all chose the engine with the fewest streams, its slots would
+/// fill up while other engines are free.
 #[test]
 fn entries_that_do_not_hear_of_each_other_spread_their_streams() {
     let rows = rows(8, EngineStage::Decode);
@@ -63,8 +64,8 @@
     assert!(streams.values().all(|count| *count < 64), "{streams:?}");
 }
 
-/// An engine is ordered to read prompts and first finishes what runs, for longer than the change itself takes. Sent there
-/// by its last report, calls would be turned away until the next one.
+/// Guards against calls to an engine that is changing its stage. An engine ordered to prefill first finishes its running
+/// calls, which takes longer than the change itself. Calls placed by its last report would be refused until the next one.
 #[test]
 fn an_engine_rests_until_it_reports_what_was_ordered() {
     let mut loads = LoadTable::default();
@@ -101,7 +102,7 @@
 proptest! {
     #![proptest_config(fixed_cases())]
 
-    /// Plain calls go to an endpoint with the fewest calls, but for what another domain costs.
+    /// Plain calls go to an endpoint with the fewest calls, within the penalty for another failure domain.
     #[test]
     fn plain_calls_go_where_slots_are_free(loads_of in prop::collection::vec(0_u64..64, 3), draw: u64) {
         let rows = rows(3, EngineStage::Decode);
