--- a/crates/acaciabay/src/ops/check_tables.rs
+++ b/crates/acaciabay/src/ops/check_tables.rs
@@ -1,18 +1,18 @@
-//! Checks an edit of the tables for what is allowed but probably not meant.
+//! Checks for table edits that are valid but probably unintended.
 
 use crate::core::entry_config::EntryConfig;
 use crate::core::table::{PoolRow, RouteRow};
 
-/// Something about an accepted table that the operator should know.
+/// A warning for the operator about a table that was accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TableWarning {
-    /// Where in the table, as a JSON path.
+    /// The location in the table, as a JSON pointer.
     pub place: String,
-    /// What was found.
+    /// The text of the warning.
     pub message: String,
 }
 
-/// Returns a warning for each route that names a pool which does not exist (yet).
+/// Returns a warning for each route in `routes` that names a pool that does not exist.
 pub fn check_routes(config: &EntryConfig, routes: &[RouteRow]) -> Vec<TableWarning> {
     let missing = routes
         .iter()
@@ -29,7 +29,7 @@
         .collect()
 }
 
-/// Returns a warning for each route whose pool would be missing from `pools`.
+/// Returns a warning for each existing route whose pool is missing from `pools`.
 pub fn check_pools(config: &EntryConfig, pools: &[PoolRow]) -> Vec<TableWarning> {
     let orphans = config
         .routes
--- a/crates/acaciabay/src/ops/divide_pool.rs
+++ b/crates/acaciabay/src/ops/divide_pool.rs
@@ -1,25 +1,26 @@
-//! Divides a pool's capacity between customers, and their parts between the entries that they come through.
+//! Division of a pool's capacity among customers, and of their shares among the entries that receive their requests.
 
 use std::collections::BTreeMap;
 
 use crate::core::name::{CustomerName, HostName};
 use crate::core::share_table::PoolDemand;
 
-/// What one entry should get.
+/// The share of a pool that one entry should get.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EntryPart {
-    /// Pieces, headroom included.
+    /// Number of pieces, including headroom.
     pub pieces: u32,
-    /// The weights of the customers that come through this entry. A customer's weight is 1 over all entries, divided
-    /// as its demand is: one who comes through every entry must not count once in each.
+    /// Weights of the customers whose requests this entry receives. The weights of one customer add up to 1 over all
+    /// entries, in proportion to its demand at each. A customer that uses every entry thus does not count once in each.
     pub weights: BTreeMap<CustomerName, f64>,
 }
 
-/// Divides `capacity` pieces.
+/// Divides `capacity` pieces among the entries.
 ///
-/// Customers get max-min fair parts of the whole pool, whichever entries they come through: were entries given parts by
-/// their own demand, a customer who floods one entry would take from all customers at the others. What nobody asks for
-/// is spread evenly over the entries, so that a burst is admitted without asking the leader first.
+/// Customers get max-min fair shares of the whole pool, regardless of the entries that they use. If entries got shares by
+/// their own demand instead, a customer that floods one entry would take capacity from all customers at the others.
+/// Capacity without demand is spread evenly over the entries as headroom, so that a burst is admitted without asking the
+/// leader first.
 pub fn divide_pool(capacity: u32, demands: &BTreeMap<&HostName, &PoolDemand>) -> BTreeMap<HostName, EntryPart> {
     let totals = total_demands(demands);
     let parts = customer_parts(f64::from(capacity), &totals);
@@ -31,7 +32,7 @@
     entries.collect()
 }
 
-/// Adds up what each customer asks for over all entries.
+/// Returns the demand of each customer, summed over all entries.
 pub fn total_demands<'demand>(
     demands: &BTreeMap<&HostName, &'demand PoolDemand>,
 ) -> BTreeMap<&'demand CustomerName, u64> {
@@ -42,7 +43,10 @@
     totals
 }
 
-/// Gives every customer what it asks for, or an equal part of what is left, whichever is less.
+/// Returns the max-min fair share of each customer.
+///
+/// In ascending order of demand, each customer gets its demand or an equal share of the remaining capacity, whichever is
+/// less.
 pub fn customer_parts<'demand>(
     capacity: f64,
     totals: &BTreeMap<&'demand CustomerName, u64>,
--- a/crates/acaciabay/src/ops/mod.rs
+++ b/crates/acaciabay/src/ops/mod.rs
@@ -1,4 +1,4 @@
-//! The operations, one function each, over the tables in [`crate::core`].
+//! Operations over the tables in [`crate::core`].
 
 pub mod check_tables;
 pub mod divide_pool;
--- a/crates/acaciabay/src/ops/place_request.rs
+++ b/crates/acaciabay/src/ops/place_request.rs
@@ -1,4 +1,4 @@
-//! Picks the endpoint for a request.
+//! Choice of the endpoint for a request.
 
 use std::collections::BTreeMap;
 
@@ -10,23 +10,23 @@
 use crate::core::table::{PoolRow, RouteTarget};
 use crate::util::rendezvous;
 
-/// How far above the mean an endpoint may be loaded before prefix affinity no longer applies to it.
+/// Ratio of an endpoint's load to the mean load up to which prefix affinity applies.
 ///
-/// Affinity without a bound sends every request with a popular prompt prefix to one engine.
+/// Without a bound, affinity would send every request with a popular prompt prefix to one engine.
 const AFFINITY_LOAD_BOUND: f64 = 1.25;
 
-/// What this entry itself has under way at one endpoint.
+/// The load that this entry's own requests in flight put on one endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OwnLoad {
-    /// Requests.
+    /// Number of requests in flight.
     pub requests: u32,
     /// Pieces of the endpoint's memory that they hold.
     pub pieces: u32,
-    /// How many of these pieces the endpoint's latest report contains.
+    /// Number of these pieces that the endpoint's latest report includes.
     pub reported: u32,
 }
 
-/// What this entry itself has under way at each endpoint, which the endpoint's lagging report may not contain yet.
+/// The load that this entry puts on each endpoint, which the endpoint's lagging report may not include yet.
 pub type OwnSends = BTreeMap<EndpointName, OwnLoad>;
 
 /// A request that needs an endpoint.
@@ -34,20 +34,20 @@
 pub struct PlacementRequest<'request> {
     /// The pool to choose from.
     pub pool: &'request PoolRow,
-    /// The model or service asked for.
+    /// The requested model or service.
     pub target: &'request RouteTarget,
-    /// The digestible start of the prompt, whose cached form an engine may hold; empty for none.
+    /// The first bytes of the prompt, whose hash selects the engine that may have them cached. Empty without affinity.
     pub prefix: &'request [u8],
-    /// Pieces of memory that it needs.
+    /// Pieces of memory that the request needs.
     pub pieces: u32,
-    /// Endpoints that an earlier attempt of this request has used.
+    /// Endpoints used by earlier attempts of this request.
     pub tried: &'request [EndpointName],
 }
 
-/// Picks an endpoint that takes work, by prefix affinity while load allows it and by two random choices otherwise.
+/// Chooses an endpoint by prefix affinity if its load allows it, and otherwise by the power of two random choices.
 ///
-/// Returns nothing when no endpoint of the pool takes work for the target. Two random choices keep two entries that
-/// see the same idle endpoint from both sending everything to it.
+/// Returns `None` if no endpoint of the pool that is not in `tried` takes work for the target. With two random choices,
+/// entries that see the same idle endpoint do not all send everything to it.
 pub fn place_request<'table>(
     now: BootTime,
     random: &mut impl Rng,
@@ -81,7 +81,7 @@
     })
 }
 
-/// Picks the endpoints in turn, whatever their load: the baseline of the measurements.
+/// Chooses the endpoints in turn (round robin) regardless of load, as the baseline for measurements.
 pub fn place_in_turn<'table>(
     now: BootTime,
     turn: u64,
@@ -137,12 +137,12 @@
     used((name, row), sends) + pieces <= row.pieces
 }
 
-/// The share of the endpoint's memory in use.
+/// Returns the fraction of the endpoint's memory in use.
 fn load((name, row): (&EndpointName, &EndpointRow), sends: &OwnSends) -> f64 {
     f64::from(used((name, row), sends)) / f64::from(row.pieces.max(1))
 }
 
-/// The endpoint's report, corrected by what this entry has sent since.
+/// Returns the pieces in use by the endpoint's report, plus those that this entry has sent since.
 fn used((name, row): (&EndpointName, &EndpointRow), sends: &OwnSends) -> u32 {
     let own = sends.get(name).copied().unwrap_or_default();
     row.pieces_used.saturating_add(own.pieces.saturating_sub(own.reported))
--- a/crates/acaciabay/src/ops/plan_deliveries.rs
+++ b/crates/acaciabay/src/ops/plan_deliveries.rs
@@ -1,4 +1,4 @@
-//! Decides for each unsettled order whether to send it, to settle it, or to wait.
+//! Planning of the next step for each unsettled order: send it, settle it or wait.
 
 use crate::core::clock::BootTime;
 use crate::core::delivery::DeliveryTable;
@@ -6,19 +6,19 @@
 use crate::core::name::EndpointName;
 use crate::core::order::{OrderRow, OrderTable, OrderTarget};
 
-/// What to do about one order.
+/// The next step for one order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DeliveryStep {
     /// Send the order to the endpoint.
     Send {
         /// The endpoint.
         endpoint: EndpointName,
-        /// Where it is.
+        /// The address of the endpoint.
         address: std::net::SocketAddr,
         /// The order.
         order: OrderRow,
     },
-    /// Record that the order is settled: nothing more will come of it.
+    /// Record that the order is settled and can have no further effect.
     Settle {
         /// The endpoint.
         endpoint: EndpointName,
@@ -27,12 +27,14 @@
     },
 }
 
-/// Plans the next step of every unsettled order.
+/// Returns the next step of every unsettled order that needs one.
 ///
-/// An order is settled without an answer in two cases only. A newer incarnation of the endpoint has never received it.
-/// And an endpoint that is what the order asked for has carried it out, provided that it said so after the last copy of
-/// the order had arrived or was lost. An earlier report may show what the endpoint was before the order before this
-/// one, and a copy still under way could undo a later order.
+/// An order is settled without an answer in two cases only:
+///
+/// - The endpoint has a newer incarnation, which has never received the order.
+/// - The endpoint has reported the state that the order asks for, and the report is newer than the moment from which no
+///   copy of the order can still be in transit. An older report may show the state before the preceding order, and a copy
+///   in transit could undo a later order.
 pub fn plan_deliveries(
     now: BootTime,
     orders: &OrderTable,
--- a/crates/acaciabay/src/ops/plan_members.rs
+++ b/crates/acaciabay/src/ops/plan_members.rs
@@ -1,23 +1,25 @@
-//! Which member of the control group leaves when another one could take its place.
+//! Choice of the member that leaves the control group, so that a learner can replace a lost voter.
 
 use std::time::Duration;
 
 use crate::core::consensus::{FollowerState, ReplicaId};
 
-/// How long a voter answers nothing before a learner that has caught up takes its place.
+/// Time without an answer after which a learner that has caught up may replace a voter.
 ///
-/// It is longer than an election, so that a replica that restarts within a second keeps its place, and shorter than the
+/// It is longer than an election, so that a replica that restarts within a second remains a voter, and shorter than the
 /// time that operators allow for a repair (4 s on the smallest deployments).
 pub const VOTER_SILENCE: Duration = Duration::from_millis(1_500);
 
-/// How long a learner answers nothing before it is taken for gone.
+/// Time without an answer after which a learner counts as lost.
 pub const LEARNER_SILENCE: Duration = Duration::from_secs(15);
 
-/// Returns the member that has to leave, if any: the voter that was silent longest, where a learner waits for its place
-/// and no further voter is wanted, or a learner that is gone.
+/// Returns the member that has to leave, if any.
 ///
-/// Without this, a voter that is lost for good would count in every quorum, and the next loss would stop the group. A
-/// silent voter stays while nobody could replace it: removing it would bring no copy back.
+/// A lost learner leaves first. Otherwise the voter that has been silent longest leaves, provided that a learner has caught
+/// up and the group has as many voters as it wants.
+///
+/// Without this, a permanently lost voter would count in every quorum, and the next loss would stop the group. A silent
+/// voter stays if no learner can replace it, since its removal would not restore a copy of the log.
 pub fn plan_members(followers: &[FollowerState], voters: usize, wanted_voters: usize) -> Option<ReplicaId> {
     let gone = followers
         .iter()
--- a/crates/acaciabay/src/ops/plan_windows.rs
+++ b/crates/acaciabay/src/ops/plan_windows.rs
@@ -1,34 +1,36 @@
-//! Which usage windows are fixed now.
+//! Choice of the usage windows to seal.
 //!
-//! A window is fixed once, and what arrives later is never billed. Entries report several times a second, so shortly after
-//! its end a window is complete, unless an entry is cut off: then the window waits for it as long as there is still time to
-//! send it.
+//! A window is sealed once, and usage that is reported later is never billed. Entries report several times a second, so a
+//! window is complete shortly after its end unless an entry is cut off. The window then waits for that entry as long as
+//! enough time remains to deliver it.
 
 use std::time::Duration;
 
 use crate::core::serving::start_counts::WindowNumber;
 use crate::util::number::whole_millis;
 
-/// After which part of the time until a window is due it is fixed if every entry has reported since it ended.
+/// Fraction of the delivery deadline after which a window is sealed if every entry has reported since the window ended.
 const EARLY_PART: f64 = 0.35;
-/// After which part it is fixed in any case; the rest is for sending it, and sending it again.
+/// Fraction of the delivery deadline after which a window is sealed in any case. The rest is for delivery and retries.
 const LATE_PART: f64 = 0.7;
-/// Windows that are further behind were due long ago; a group that starts over does not report them.
+/// Largest number of windows before the latest one that may still be sealed. Older windows were due long ago, and a group
+/// that starts over does not report them.
 const MOST_BEHIND: u64 = 12;
 
-/// What the windows are judged by.
+/// The current time and the timing of usage windows.
 #[derive(Clone, Copy, Debug)]
 pub struct WindowClock {
-    /// The wall clock, in milliseconds since 1970.
+    /// The wall-clock time in milliseconds since the Unix epoch.
     pub wall_millis: u64,
     /// The length of a window in milliseconds.
     pub length_millis: u64,
-    /// Within which time after its end a window is due.
+    /// The time after the end of a window within which it must be delivered.
     pub due: Duration,
 }
 
-/// Returns the windows after `last_sealed` to fix now, in order. `longest_silence` is for how long the entry that was
-/// heard least lately has not reported.
+/// Returns the windows after `last_sealed` to seal now, in order.
+///
+/// `longest_silence` is the time since the last report of the entry that has been silent longest.
 pub fn plan_windows(
     clock: &WindowClock,
     last_sealed: WindowNumber,
@@ -42,11 +44,11 @@
 }
 
 impl WindowClock {
-    /// Returns the number of the last window that had ended this long ago.
+    /// Returns the number of the last window that ended at least `ago` before the current time.
     fn ended_before(&self, ago: Duration) -> u64 {
         let millis = whole_millis(ago);
         let moment = self.wall_millis.saturating_sub(millis);
-        // The window that contains that moment had not ended by then; the one before it had.
+        // The window that contains that moment had not ended by then, but the previous one had.
         WindowNumber::at(moment, self.length_millis.max(1)).0.saturating_sub(1)
     }
 }
--- a/crates/acaciabay/src/ops/route_request.rs
+++ b/crates/acaciabay/src/ops/route_request.rs
@@ -1,4 +1,4 @@
-//! Finds the pool that serves a request, or the reason why none does.
+//! Lookup of the route and the pool of a request.
 
 use crate::core::entry_config::EntryConfig;
 use crate::core::name::CustomerName;
@@ -13,21 +13,22 @@
     pub pool: &'config PoolRow,
 }
 
-/// Why a request has no pool.
+/// The reason why no pool serves a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RouteRefusal {
     /// The customer has no route to this target.
     NoRoute,
-    /// The route names a pool that does not exist at present.
+    /// The route names a pool that does not currently exist.
     NoPool,
 }
 
-/// Routes a customer's request.
+/// Returns the route and the pool for a customer's request.
 ///
 /// # Errors
 ///
-/// The two tables meet only by name, so that they pass through moments in which they disagree: a route to a missing
-/// pool is refused as not run, which differs from a target that the customer may not use at all.
+/// Returns [`RouteRefusal::NoRoute`] if the customer may not use the target, and [`RouteRefusal::NoPool`] if the pool of the
+/// route does not exist. The two are distinct because routes refer to pools by name only, so that the tables may disagree
+/// for a while: a request to a missing pool is refused as not run.
 pub fn route_request<'config>(
     config: &'config EntryConfig,
     customer: &CustomerName,
--- a/crates/acaciabay/tests/serving/members.rs
+++ b/crates/acaciabay/tests/serving/members.rs
@@ -1,4 +1,4 @@
-//! Members of the control group that take each other's places.
+//! Tests of the replacement of members of the control group.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
     }
 }
 
-/// Returns a group of one that leads, and the time.
+/// Returns the leader of a group with one member, and the current time.
 fn lone_leader(policy: QuorumPolicy) -> (Replica, BootTime) {
     let row = MemberRow {
         host: "h1".into(),
@@ -50,8 +50,9 @@
     }
 }
 
-/// A leader of many rounds admits a host that has come with an empty disk. The host has answered nothing yet; if it
-/// counted as silent since the first round, it would be removed in the same moment, for ever.
+/// Guards against the removal of a new member right after it is admitted, over and over. The leader has led for many rounds,
+/// and the host has an empty disk and has not answered yet. If it counted as silent since the first round, it would be
+/// removed at once.
 #[test]
 fn a_new_member_is_not_silent() {
     let (mut replica, mut now) = lone_leader(QuorumPolicy::default());
@@ -75,7 +76,7 @@
     assert_eq!(plan_members(&followers, 1, 5), None);
 }
 
-/// Three replicas that hear each other, but for those that are cut off.
+/// Three replicas that exchange messages, except with those that are cut off.
 struct Trio {
     replicas: Vec<Replica>,
     now: BootTime,
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Lets time pass; messages to and from the replicas in `cut` are lost.
+    /// Advances the time by `millis`. Messages to and from the replicas in `cut` are lost.
     fn run(&mut self, millis: u64, cut: &[ReplicaId]) {
         for _ in 0..millis / 20 {
             self.now = self.now + Duration::from_millis(20);
@@ -134,8 +135,8 @@
     }
 }
 
-/// Two disks may be lost at once, and only three hosts have a disk so far. An entry that counted on a majority of them,
-/// two, would be gone with both, although an operator was told that it is accepted.
+/// Guards against the loss of an accepted log entry. The policy allows for two disks lost at once, and only three hosts have
+/// a disk so far. An entry that is accepted once a majority, two disks, has it would be lost with both.
 #[test]
 fn an_entry_counts_only_on_as_many_disks_as_the_policy_says() {
     let policy = QuorumPolicy {
@@ -160,8 +161,8 @@
     assert!(on_three_disks >= proposed);
 }
 
-/// All voters that are wanted vote, and one more host has joined. If it voted too, losses that are allowed for could
-/// leave no majority.
+/// Guards against more voters than the policy wants. All of them are present and one more host joins; if it became a voter
+/// as well, a tolerated number of losses could leave no majority.
 #[test]
 fn no_more_vote_than_are_wanted() {
     let policy = QuorumPolicy {
@@ -198,7 +199,8 @@
     assert!(!replica.members().is_voter(learner));
 }
 
-/// A voter is gone for good and another host waits. If it stayed a voter, the loss of one more would stop the group.
+/// Guards against a permanently lost voter that stays although a learner could replace it: the loss of one more voter would
+/// stop the group.
 #[test]
 fn a_substitute_takes_the_place_of_the_longest_silent_voter() {
     let short = VOTER_SILENCE;
@@ -213,7 +215,8 @@
     assert_eq!(plan_members(&followers, 5, 5), Some(ReplicaId(3)));
 }
 
-/// A voter is away for a while and nobody could take its place. Removing it would bring no copy back.
+/// Guards against the removal of a silent voter that no learner can replace. The removal would not restore a copy of the
+/// log.
 #[test]
 fn a_silent_voter_stays_without_a_substitute() {
     let silent = follower(2, true, VOTER_SILENCE * 10);
