--- a/crates/acaciabay/src/core/consensus/election.rs
+++ b/crates/acaciabay/src/core/consensus/election.rs
@@ -1,4 +1,4 @@
-//! Elections: who may stand, who votes for whom, and when neither is allowed.
+//! Leader elections: candidates, votes, and the leases during which a replica may neither vote nor become a candidate.
 
 use super::entry::EntryPayload;
 use super::entry::{LogIndex, Term};
@@ -10,6 +10,7 @@
 use crate::core::clock::BootTime;
 
 impl Replica {
+    /// Starts a pre-vote when the election timeout of a voter has expired.
     pub(super) fn tick_election(&mut self, now: BootTime) {
         if now < self.election_due || !self.members.is_voter(self.id) {
             return;
@@ -32,7 +33,8 @@
         self.count_votes(now);
     }
 
-    /// Decides whether a message's term lets it through, and follows a newer term where the message proves one.
+    /// Returns true if a message's term allows it to be handled. Adopts a newer term if the message proves that it has
+    /// begun.
     pub(super) fn accept_term(&mut self, now: BootTime, message: &ReplicaMessage) -> bool {
         if message.term < self.term {
             self.tell_newer_term(message);
@@ -42,13 +44,13 @@
             return true;
         }
         match &message.body {
-            // Neither the question nor the promise of a vote means that the term has begun.
+            // Neither a pre-vote request nor a granted pre-vote proves that the term has begun.
             MessageBody::VoteRequest { pre_vote: true, .. }
             | MessageBody::VoteReply {
                 pre_vote: true,
                 granted: true,
             } => true,
-            // Following the term here would end the leadership of one who still holds a lease.
+            // Adopting the term here would depose a leader that still holds its lease.
             MessageBody::VoteRequest { pre_vote: false, .. } if self.is_promised(now) => false,
             MessageBody::VoteRequest { pre_vote: false, .. }
             | MessageBody::VoteReply { .. }
@@ -63,7 +65,7 @@
         }
     }
 
-    /// Answers a message of an old term, so that a deposed leader or a late candidate learns of the new one.
+    /// Rejects a request from an older term, so that a deposed leader or an outdated candidate learns the current term.
     fn tell_newer_term(&mut self, message: &ReplicaMessage) {
         match &message.body {
             MessageBody::VoteRequest { pre_vote, .. } => {
@@ -91,8 +93,10 @@
         }
     }
 
-    /// Ends the promise to a replica that asks for votes in a later term: one that leads does not, and it can no longer
-    /// come to lead in the term in which the promise was made. A late request from before it led names no later term.
+    /// Drops the confirmed lease of a replica that requests votes in a later term than this replica's.
+    ///
+    /// A leader requests no votes, and the sender can no longer become leader in the term of the lease. A delayed
+    /// request from before the sender became leader does not name a later term.
     pub(super) fn release_promise(&mut self, message: &ReplicaMessage) {
         let asks = matches!(message.body, MessageBody::VoteRequest { .. });
         if asks && message.term > self.term && self.promised_to == Some(message.from) {
@@ -101,7 +105,7 @@
         }
     }
 
-    /// Notes who leads in the present term.
+    /// Records the leader of the current term and stores it if it was unknown.
     pub(super) fn note_term_leader(&mut self, leader: ReplicaId) {
         if self.term_leader != Some(leader) {
             self.term_leader = Some(leader);
@@ -131,7 +135,7 @@
             self.reset_election(now);
         }
         let body = MessageBody::VoteReply { pre_vote, granted };
-        // A granted pre-vote answers in the term asked about, so that the candidate can tell it from a newer term.
+        // A granted pre-vote carries the requested term, so that the candidate does not mistake it for a newer term.
         let answered = if pre_vote && granted { term } else { self.term };
         self.output.messages.push(ReplicaMessage {
             from: self.id,
@@ -170,7 +174,7 @@
     }
 
     fn become_candidate(&mut self, now: BootTime) {
-        // The pre-vote took time in which a leader may have been heard.
+        // During the pre-vote, this replica may have confirmed a leader's lease.
         if self.is_promised(now) {
             self.become_follower(now, self.term, None);
             return;
@@ -212,7 +216,7 @@
         self.note_term_leader(self.id);
         self.round = 0;
         self.rounds.clear();
-        // Not a lease yet, only the start of the time within which the first one must be confirmed.
+        // The leader holds no lease yet. This starts the period in which a quorum must confirm the first one.
         self.lease_until = now;
         let next = self.log.last_index().next();
         let others = self.members.rows().map(|(id, _)| id).filter(|id| *id != self.id);
--- a/crates/acaciabay/src/core/consensus/entry.rs
+++ b/crates/acaciabay/src/core/consensus/entry.rs
@@ -1,44 +1,44 @@
-//! Entries of the log and what else a replica must not forget.
+//! Log entries and the other state that a replica persists.
 
 use bytes::Bytes;
 
 use super::members::{MemberSet, ReplicaId};
 
-/// The number of an election; at most one replica leads in each term.
+/// Election term; each term has at most one leader.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Term(pub u64);
 
-/// The place of an entry in the log, from 1.
+/// Position of an entry in the log, counted from 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LogIndex(pub u64);
 
 impl LogIndex {
-    /// Returns the place after this one.
+    /// Returns the index after this one.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
     }
 
-    /// Returns the place before this one; the first has 0 before it.
+    /// Returns the index before this one, or 0 if there is none.
     #[must_use]
     pub const fn previous(self) -> Self {
         Self(self.0.saturating_sub(1))
     }
 }
 
-/// What an entry says.
+/// Content of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EntryPayload {
-    /// Nothing: a new leader commits it to learn how far its predecessors' entries are committed.
+    /// No-op that a new leader appends: once it is committed, so are all entries from earlier terms before it.
     Empty,
-    /// A command for the replicated state, in the form that the embedder has given it.
+    /// Command for the replicated state machine, encoded by the embedder.
     Command(Bytes),
-    /// The members from this entry on.
+    /// Members of the group from this entry on.
     Members(MemberSet),
 }
 
 impl EntryPayload {
-    /// Returns roughly how many bytes the entry takes in a message.
+    /// Returns the approximate size of the entry in a message, in bytes.
     pub(super) fn size(&self) -> usize {
         const FIXED: usize = 32;
         const MEMBER: usize = 64;
@@ -50,31 +50,31 @@
     }
 }
 
-/// One entry.
+/// Entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogEntry {
-    /// Its place.
+    /// Position in the log.
     pub index: LogIndex,
-    /// The term of the leader that made it.
+    /// Term of the leader that created the entry.
     pub term: Term,
-    /// What it says.
+    /// Content of the entry.
     pub payload: EntryPayload,
 }
 
-/// What a replica must have synced before it answers in a term.
+/// State that a replica must sync to disk before it sends messages in a term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HardState {
-    /// The highest term that the replica has taken part in.
+    /// Highest term that the replica has taken part in.
     pub term: Term,
-    /// Whom it voted for in that term.
+    /// Candidate that the replica voted for in this term.
     pub vote: Option<ReplicaId>,
-    /// Who leads or has led in that term, once the replica knows it. A term has one leader, so this stays true; it tells a
-    /// replica that starts again to whom it may have confirmed a lease.
+    /// Leader of this term, once the replica knows it. It cannot change within the term, so it stays valid after the
+    /// leader has stepped down. After a restart it names the leader whose lease the replica may have confirmed.
     pub leader: Option<ReplicaId>,
 }
 
 impl HardState {
-    /// Returns what the first members of a group start with.
+    /// Returns the initial state of the first members of a group.
     pub const fn founding() -> Self {
         Self {
             term: Term(1),
@@ -84,21 +84,21 @@
     }
 }
 
-/// The replicated state after the entry at `index`, in place of all entries up to there.
+/// Replicated state after the entry at `index`. It replaces the log up to and including that entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReplicaSnapshot {
-    /// The last entry that the state contains.
+    /// Index of the last entry that the state includes.
     pub index: LogIndex,
-    /// That entry's term.
+    /// Term of that entry.
     pub term: Term,
-    /// The members after it.
+    /// Members of the group after that entry.
     pub members: MemberSet,
-    /// The state, in the form that the embedder has given it.
+    /// State of the state machine, encoded by the embedder.
     pub state: Bytes,
 }
 
 impl ReplicaSnapshot {
-    /// Returns the state of a group that is founded with these members: nothing.
+    /// Returns the initial snapshot of a new group: these members and an empty state.
     pub fn founding(members: MemberSet) -> Self {
         Self {
             index: LogIndex(1),
--- a/crates/acaciabay/src/core/consensus/log.rs
+++ b/crates/acaciabay/src/core/consensus/log.rs
@@ -1,4 +1,4 @@
-//! The entries after the latest snapshot.
+//! In-memory log: the entries after the latest snapshot.
 
 use std::collections::VecDeque;
 
@@ -6,7 +6,9 @@
 use super::members::MemberSet;
 use super::timing::{MOST_ENTRIES, MOST_ENTRY_BYTES};
 
-/// The log of one replica, from the entry after its snapshot to its end.
+/// Log of one replica, from the entry after its latest snapshot to the last entry.
+///
+/// The base is the last entry that the snapshot includes. The log keeps its index and term, and the members after it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReplicaLog {
     base_index: LogIndex,
@@ -16,7 +18,7 @@
 }
 
 impl ReplicaLog {
-    /// Starts a log after a snapshot; the default is the start of everything.
+    /// Creates an empty log after a snapshot; the default is an empty log without a snapshot.
     pub const fn after_snapshot(index: LogIndex, term: Term, members: MemberSet) -> Self {
         Self {
             base_index: index,
@@ -26,22 +28,22 @@
         }
     }
 
-    /// Returns the last entry that only the snapshot contains.
+    /// Returns the index of the last entry that the snapshot includes.
     pub const fn base_index(&self) -> LogIndex {
         self.base_index
     }
 
-    /// Returns the place of the last entry.
+    /// Returns the index of the last entry, or of the base if the log is empty.
     pub fn last_index(&self) -> LogIndex {
         self.entries.back().map_or(self.base_index, |entry| entry.index)
     }
 
-    /// Returns the term of the last entry.
+    /// Returns the term of the last entry, or of the base if the log is empty.
     pub fn last_term(&self) -> Term {
         self.entries.back().map_or(self.base_term, |entry| entry.term)
     }
 
-    /// Returns the term of the entry at `index`, if the log or its base holds it.
+    /// Returns the term of the entry at `index` if it is the base or in the log.
     pub fn term_at(&self, index: LogIndex) -> Option<Term> {
         if index == self.base_index {
             return Some(self.base_term);
@@ -49,12 +51,12 @@
         self.get(index).map(|entry| entry.term)
     }
 
-    /// Returns the entry at `index`, unless it is in the snapshot or not there yet.
+    /// Returns the entry at `index`, or `None` if it has been compacted or does not exist yet.
     pub fn get(&self, index: LogIndex) -> Option<&LogEntry> {
         self.entries.get(self.offset(index)?)
     }
 
-    /// Returns the members after the last entry.
+    /// Returns the members after the last entry, and the index of the entry or snapshot that set them.
     pub fn latest_members(&self) -> (LogIndex, &MemberSet) {
         let found = self.entries.iter().rev().find_map(|entry| match &entry.payload {
             EntryPayload::Members(members) => Some((entry.index, members)),
@@ -73,7 +75,7 @@
         sets.next().unwrap_or(&self.base_members)
     }
 
-    /// Returns the entries from `first` on, as many as one message carries.
+    /// Returns copies of the entries from `first` on, up to the limits of one message.
     pub(super) fn message_from(&self, first: LogIndex) -> Vec<LogEntry> {
         let Some(offset) = self.offset(first) else {
             return Vec::new();
@@ -87,7 +89,7 @@
         entries.cloned().collect()
     }
 
-    /// Returns copies of the entries after `after` up to `last`.
+    /// Returns copies of the entries after `after`, up to and including `last`.
     pub(super) fn between(&self, after: LogIndex, last: LogIndex) -> Vec<LogEntry> {
         let Some(offset) = self.offset(after.next()) else {
             return Vec::new();
@@ -100,25 +102,25 @@
             .collect()
     }
 
-    /// Returns a copy of all entries after the base.
+    /// Returns copies of all entries after the base.
     pub fn entries(&self) -> Vec<LogEntry> {
         self.entries.iter().cloned().collect()
     }
 
-    /// Adds an entry at the end.
+    /// Appends an entry.
     pub fn push(&mut self, entry: LogEntry) {
-        debug_assert_eq!(entry.index, self.last_index().next(), "entries follow one another");
+        debug_assert_eq!(entry.index, self.last_index().next(), "log indexes are contiguous");
         self.entries.push_back(entry);
     }
 
-    /// Drops the entry at `index` and all after it.
+    /// Removes the entry at `index` and all later ones.
     pub fn truncate_from(&mut self, index: LogIndex) {
         if let Some(offset) = self.offset(index) {
             self.entries.truncate(offset);
         }
     }
 
-    /// Drops the entries up to `index`, which a snapshot now contains.
+    /// Removes the entries up to and including `index`, which a snapshot now includes.
     pub fn compact_to(&mut self, index: LogIndex) {
         let Some(term) = self.term_at(index) else { return };
         self.base_members = self.members_at(index).clone();
@@ -129,7 +131,7 @@
         self.base_term = term;
     }
 
-    /// Returns the place before the first entry of the term that the entry at `index` has.
+    /// Returns the index before the run of entries with the same term that ends at `index`, but none below the base.
     pub(super) fn before_term_of(&self, index: LogIndex) -> LogIndex {
         let Some(term) = self.term_at(index) else {
             return self.last_index();
--- a/crates/acaciabay/src/core/consensus/membership.rs
+++ b/crates/acaciabay/src/core/consensus/membership.rs
@@ -1,4 +1,4 @@
-//! Changes of the group's members, one at a time.
+//! Membership changes, one at a time, and the leader's view of its followers.
 
 use std::time::Duration;
 
@@ -9,75 +9,76 @@
 use super::timing::{HEARTBEAT_INTERVAL, PROMOTION_LAG};
 use crate::core::name::HostName;
 
-/// A change of the members.
+/// Change to the members of the group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MemberChange {
-    /// Admits a replica on a host; it learns first and votes once it has caught up.
+    /// Adds a replica on a host. It starts as a learner and becomes a voter once it has caught up.
     Add {
-        /// The host.
+        /// Host of the new replica.
         host: HostName,
-        /// Its peer address.
+        /// Peer address of the new replica.
         address: String,
     },
-    /// Admits a replica on a host together with the data folder that the host has come with.
+    /// Adds a replica on a host and binds it to the data folder that the host has reported.
     Admit {
-        /// The host.
+        /// Host of the new replica.
         host: HostName,
-        /// Its peer address.
+        /// Peer address of the new replica.
         address: String,
-        /// The folder.
+        /// Data folder of the host.
         disk: DiskId,
     },
-    /// Binds a member to the data folder that its host has come with.
+    /// Binds a member to the data folder that its host has reported.
     Bind {
-        /// The member.
+        /// Member to bind.
         replica: ReplicaId,
-        /// The folder.
+        /// Data folder of its host.
         disk: DiskId,
     },
-    /// Removes a member for good.
+    /// Removes a member permanently.
     Remove {
-        /// The member.
+        /// Member to remove.
         replica: ReplicaId,
     },
 }
 
-/// What a leader sees of another member.
+/// State of another member as the leader sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FollowerState {
-    /// The member.
+    /// Id of the member.
     pub replica: ReplicaId,
-    /// Whether it votes.
+    /// True for a voter, false for a learner.
     pub voter: bool,
-    /// Whether it has synced nearly all that is committed.
+    /// True if the member has synced the latest membership change and nearly all committed entries.
     pub caught_up: bool,
-    /// For how long it has answered no round.
+    /// Time since the latest heartbeat round that the member has replied to.
     pub silence: Duration,
 }
 
-/// Why a change of the members was refused.
+/// Reason for which a membership change is refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MemberRefusal {
-    /// This replica does not lead.
+    /// This replica is not the leader.
     NotLeader(NotLeader),
-    /// The change before is not committed, or this leader has committed nothing yet.
+    /// The previous membership change is not committed, or this leader has not committed its first entry.
     Busy,
-    /// The host has a replica already.
+    /// The host already runs a member.
     HostTaken(ReplicaId),
-    /// There is no such member.
+    /// No member has this id.
     NoSuchMember,
-    /// The member is bound to another data folder: its disk was emptied or replaced.
+    /// The member is bound to this other data folder, because its disk was emptied or replaced.
     OtherDisk(DiskId),
-    /// It is the only voter.
+    /// The member is the only voter.
     LastVoter,
 }
 
 impl Replica {
-    /// Proposes a change of the members and returns the place of its entry and the member concerned.
+    /// Proposes a membership change and returns the index of its entry and the id of the affected member.
     ///
     /// # Errors
     ///
-    /// Refuses while another change is under way: two at a time could lead to two quorums without a common member.
+    /// Fails on a replica that does not lead, and while another change is pending: two concurrent changes could produce
+    /// two quorums without a common member. Also fails if the change does not fit the present members.
     pub fn change_members(&mut self, change: MemberChange) -> Result<(LogIndex, ReplicaId), MemberRefusal> {
         if self.role != ReplicaRole::Leader {
             return Err(MemberRefusal::NotLeader(NotLeader { leader: self.leader }));
@@ -116,15 +117,15 @@
         Ok((self.append_own(EntryPayload::Members(members)), replica))
     }
 
-    /// Tells whether a change of the members, or the first entry of this leader, is not committed yet.
+    /// Returns true while a membership change or the first entry of this leader is not committed.
     pub fn is_changing(&self) -> bool {
         self.members_index > self.commit || self.commit < self.term_start
     }
 
-    /// Makes a learner a voter once it has synced nearly all that is committed, its own admission included.
+    /// Promotes a learner to a voter once it has synced the latest membership change and nearly all committed entries.
     ///
-    /// Counting it earlier would let a quorum consist of replicas that lack committed entries: if a second host were
-    /// lost right after a repair, they would be lost with it.
+    /// An earlier promotion would let a quorum consist of replicas that lack committed entries. If a second host were
+    /// lost right after a repair, those entries would be lost with it.
     pub(super) fn promote_learner(&mut self, id: ReplicaId) {
         let learner = self.members.get(id).is_some_and(|row| !row.voter && row.disk.is_some());
         let matched = self.progress.get(&id).map_or(LogIndex(0), |progress| progress.matched);
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Returns how far the other members have come, as a leader sees it; nothing on a replica that does not lead.
+    /// Returns the state of the other members as the leader sees it, or nothing on a replica that does not lead.
     pub fn followers(&self) -> Vec<FollowerState> {
         let rows = self.progress.iter();
         let states = rows.map(|(id, progress)| FollowerState {
@@ -151,13 +152,14 @@
         states.collect()
     }
 
-    /// A member that was added a moment ago has answered no round yet, which is no silence of its own.
+    /// Returns the time since the follower's last reply. For a new member that has not replied yet, it counts from the
+    /// round in which the leader started to track it.
     fn silence_of(&self, progress: &FollowerProgress) -> Duration {
         let heard = progress.round.max(progress.since_round).min(self.round);
         HEARTBEAT_INTERVAL * u32::try_from(self.round - heard).unwrap_or(u32::MAX)
     }
 
-    /// Keeps the leader's view of followers in step with the members.
+    /// Starts to track new members and stops to track removed ones.
     pub(super) fn adjust_progress(&mut self) {
         if self.role != ReplicaRole::Leader {
             return;
@@ -177,7 +179,7 @@
         }
     }
 
-    /// Steps down once the removal of this replica is committed.
+    /// Steps down once the membership change that removes this replica is committed.
     pub(super) fn leave_if_removed(&mut self) {
         if self.commit >= self.members_index && !self.members.is_voter(self.id) {
             self.role = ReplicaRole::Follower;
--- a/crates/acaciabay/src/core/consensus/message.rs
+++ b/crates/acaciabay/src/core/consensus/message.rs
@@ -1,72 +1,75 @@
-//! What replicas say to each other.
+//! Messages between replicas.
 
 use super::entry::{LogEntry, LogIndex, ReplicaSnapshot, Term};
 use super::members::ReplicaId;
 
-/// A message with its sender, receiver and term.
+/// Message with its sender, receiver and term.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaMessage {
-    /// Who sends it.
+    /// Sender.
     pub from: ReplicaId,
-    /// Whom it is for.
+    /// Receiver.
     pub to: ReplicaId,
-    /// The sender's term, or the term that it asks for votes in.
+    /// Term of the sender; in pre-vote requests and granted pre-votes, the term that the candidate would start.
     pub term: Term,
-    /// What it says.
+    /// Content of the message.
     pub body: MessageBody,
 }
 
-/// What a message says.
+/// Content of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MessageBody {
-    /// Asks for a vote, or with `pre_vote` whether a vote would be given. The second binds nobody and raises no term,
-    /// so that a replica that was cut off, or removed without knowing it, cannot unseat a leader by asking.
+    /// Request for a vote or, with `pre_vote`, for the information whether the receiver would grant one.
+    ///
+    /// A pre-vote commits the receiver to nothing and raises no term. So a replica that was partitioned, or removed
+    /// without knowing it, cannot depose a leader by asking.
     VoteRequest {
-        /// Whether it only asks what the vote would be.
+        /// True for a pre-vote.
         pre_vote: bool,
-        /// The candidate's last entry.
+        /// Index of the candidate's last entry.
         last_index: LogIndex,
-        /// That entry's term.
+        /// Term of that entry.
         last_term: Term,
     },
-    /// Answers a vote request.
+    /// Reply to a vote request.
     VoteReply {
-        /// Whether the request was one.
+        /// True if the request was a pre-vote.
         pre_vote: bool,
-        /// Whether the vote is given.
+        /// True if the vote is granted.
         granted: bool,
     },
-    /// Brings entries, or none as a heartbeat.
+    /// Entries to append; without entries, a heartbeat.
     AppendRequest(AppendRequest),
-    /// Answers an append or a snapshot.
+    /// Reply to an append or a snapshot.
     AppendReply {
-        /// Whether the log now holds what was brought.
+        /// True if the receiver's log now contains the entries or the snapshot.
         accepted: bool,
-        /// If accepted, the last entry known to equal the leader's; if not, the last entry that may do so.
+        /// If accepted, the highest index up to which the log is known to match the leader's; if rejected, the highest
+        /// index up to which it may match.
         index: LogIndex,
-        /// The round answered.
+        /// Heartbeat round of the request; 0 when a request from an older term is rejected.
         round: u64,
     },
-    /// Brings a snapshot to a replica whose missing entries are gone.
+    /// Snapshot for a replica that needs entries the leader has already compacted.
     SnapshotRequest {
-        /// The state and where it stands in the log.
+        /// State, with its position in the log.
         snapshot: ReplicaSnapshot,
-        /// The leader's round.
+        /// Heartbeat round of the leader.
         round: u64,
     },
 }
 
-/// Entries and what they follow.
+/// Entries to append, with the position that they follow.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AppendRequest {
-    /// The entry before the first one brought.
+    /// Index of the entry before the first one in `entries`.
     pub previous_index: LogIndex,
-    /// That entry's term.
+    /// Term of that entry.
     pub previous_term: Term,
-    /// How far the leader knows the log to be committed.
+    /// Commit index of the leader.
     pub commit: LogIndex,
-    /// The leader's round; its answers extend the lease from when the round was sent.
+    /// Heartbeat round of the leader. A quorum of replies extends the lease, counted from when the round was sent.
     pub round: u64,
-    /// The entries.
+    /// Entries, in log order.
     pub entries: Vec<LogEntry>,
 }
--- a/crates/acaciabay/src/core/consensus/mod.rs
+++ b/crates/acaciabay/src/core/consensus/mod.rs
@@ -1,13 +1,14 @@
-//! Replication of one log over the hosts of the control group, in the manner of Raft.
+//! Raft consensus: replicates one log across the hosts of the control group.
 //!
-//! [`Replica`] is a state machine without I/O: its inputs are ticks, messages and proposals, each with the present time,
-//! and [`Replica::take_output`] returns what its caller has to sync, send and apply, in that order. The same code thus
-//! runs under the daemon and under the tests, which explore kills, loss, reordering, repetition, pauses and lost disks
-//! against one plain list (`tests/consensus.rs`). The reasons are in `docs/design/consensus.md`.
+//! [`Replica`] is a state machine without I/O. Its inputs are ticks, messages and proposals, each with the present
+//! time, and [`Replica::take_output`] returns what the caller has to sync, send and apply, in that order. The daemon
+//! and the tests therefore run the same code. The tests in `tests/consensus` simulate crashes, pauses, lost disks, and
+//! lost, reordered and duplicated messages, and compare the entries that the replicas apply with one reference list.
+//! The reasons for the design are in `docs/design/consensus.md`.
 //!
 //! * [`log`](ReplicaLog) holds the entries after the latest snapshot.
-//! * [`members`](MemberSet) says who votes and who only learns.
-//! * `election`, `replication` and `membership` are the three parts of [`Replica`].
+//! * [`members`](MemberSet) lists the voters and the learners of the group.
+//! * `election`, `replication` and `membership` implement the three parts of [`Replica`].
 
 mod election;
 mod entry;
--- a/crates/acaciabay/src/core/consensus/progress.rs
+++ b/crates/acaciabay/src/core/consensus/progress.rs
@@ -1,22 +1,22 @@
-//! What a leader knows of each other member.
+//! Replication progress of each follower, as the leader tracks it.
 
 use super::entry::LogIndex;
 
-/// How far one follower has come.
+/// Replication progress of one follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct FollowerProgress {
-    /// The last entry that the follower has synced and that equals the leader's.
+    /// Highest index up to which the follower's synced log is known to match the leader's.
     pub(super) matched: LogIndex,
-    /// The next entry to send.
+    /// Index of the next entry to send.
     pub(super) next: LogIndex,
-    /// The latest round that it has answered.
+    /// Latest heartbeat round that the follower has replied to.
     pub(super) round: u64,
-    /// The round in which the leader began to send to it.
+    /// Heartbeat round in which the leader started to track the follower.
     pub(super) since_round: u64,
-    /// Whether the follower's log is being searched for where it equals the leader's. Until it is found, one message
-    /// goes out each round.
+    /// True while the leader searches for the point up to which the follower's log matches its own. Until it finds that
+    /// point, it sends one message per heartbeat round.
     pub(super) probing: bool,
-    /// The snapshot under way, if any, and the round in which it was sent.
+    /// Index of the snapshot in flight, if any, and the heartbeat round in which it was sent.
     pub(super) snapshot: Option<(LogIndex, u64)>,
 }
 
--- a/crates/acaciabay/src/core/consensus/replica.rs
+++ b/crates/acaciabay/src/core/consensus/replica.rs
@@ -1,4 +1,4 @@
-//! One replica: what it knows, what it was told, what its caller has to do.
+//! State of one replica, its inputs, and its output for the caller.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::Range;
@@ -18,86 +18,86 @@
 };
 use crate::core::clock::BootTime;
 
-/// What a replica has found in its data folder.
+/// State that a replica restores from its data folder.
 #[derive(Clone, Debug, Default)]
 pub struct RestoredReplica {
-    /// Term and vote.
+    /// Term, vote and leader.
     pub hard_state: HardState,
-    /// The log after the latest snapshot.
+    /// Log after the latest snapshot.
     pub log: ReplicaLog,
 }
 
-/// The part that a replica plays at present.
+/// Current role of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaRole {
-    /// It follows a leader, or waits for one.
+    /// Follows a leader or waits for one.
     Follower,
-    /// It asks whether it would be elected.
+    /// Asks in a pre-vote whether it would be elected.
     PreCandidate,
-    /// It stands for election.
+    /// Requests votes in an election.
     Candidate,
-    /// It leads.
+    /// Leads the group.
     Leader,
 }
 
-/// This replica does not lead.
+/// Error of a request that only the leader accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NotLeader {
-    /// Who does, as far as this replica knows.
+    /// Leader, if this replica knows it.
     pub leader: Option<ReplicaId>,
 }
 
-/// Entries to write into the log on disk.
+/// Entries to write to the log on disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LogAppend {
-    /// Where the first entry goes; whatever the log on disk holds from there on is dropped.
+    /// Index of the first entry. Existing entries on disk from this index on are removed.
     pub first: LogIndex,
-    /// The entries.
+    /// Entries, in log order.
     pub entries: Vec<LogEntry>,
 }
 
-/// What the caller has to do, in this order: install and sync the snapshot, sync hard state and entries, then call
-/// [`Replica::note_synced`], send the messages, apply the committed entries.
+/// Work for the caller, in this order: install and sync the snapshot, sync the hard state and the entries, call
+/// [`Replica::note_synced`], send the messages, and apply the committed entries.
 ///
-/// `early_messages` may go out before the sync, so that followers sync while the leader does; unless `hard_state` is
-/// set, which has to be synced before anything goes out.
+/// `early_messages` may be sent before the sync, so that followers sync at the same time as the leader. If `hard_state`
+/// is set, it has to be synced before any message is sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReplicaOutput {
-    /// A snapshot that replaces the replica's state and log.
+    /// Snapshot that replaces the replica's state and log.
     pub snapshot: Option<ReplicaSnapshot>,
-    /// Term and vote, if they changed.
+    /// Term, vote and leader, if one of them changed.
     pub hard_state: Option<HardState>,
-    /// Entries, if there are new ones.
+    /// New entries, if any.
     pub append: Option<LogAppend>,
-    /// Messages that do not vouch for anything that has to be synced first.
+    /// Messages that do not depend on syncing `append`.
     pub early_messages: Vec<ReplicaMessage>,
-    /// Messages that go out only after the sync.
+    /// Messages to send only after the sync.
     pub messages: Vec<ReplicaMessage>,
-    /// Entries that are committed and not applied yet, in order.
+    /// Newly committed entries to apply, in log order.
     pub committed: Vec<LogEntry>,
-    /// Followers that need a snapshot; see [`Replica::send_snapshot`].
+    /// Followers that need a snapshot, which the caller sends with [`Replica::send_snapshot`].
     pub wants_snapshot: BTreeSet<ReplicaId>,
 }
 
-/// How many copies a committed entry has, and how many replicas vote.
+/// Minimum number of copies of a committed entry, and maximum number of voters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct QuorumPolicy {
-    /// The least number of synced copies of a committed entry, where a majority of the voters would be fewer.
+    /// Minimum number of synced copies of a committed entry, if it is larger than a majority of the voters.
     ///
-    /// While the group is being founded or a member is being replaced, few replicas vote. A majority of three does not
-    /// survive the loss of two disks.
+    /// While the group is being created or a member is being replaced, there are few voters, and a majority of three
+    /// does not survive the loss of two disks.
     pub copies: usize,
-    /// The most replicas that vote; further ones learn and wait to replace one that is lost. No bound without it.
+    /// Maximum number of voters, or `None` for no limit. Further replicas stay learners that can replace a lost voter.
     pub voters: Option<usize>,
 }
 
-/// One replica of the group.
+/// Replica of the group, as a state machine without I/O.
 #[derive(Debug)]
 pub struct Replica {
     pub(super) id: ReplicaId,
     pub(super) term: Term,
     pub(super) vote: Option<ReplicaId>,
-    /// Who leads or has led in the present term.
+    /// Leader of the current term, also after it has stepped down.
     pub(super) term_leader: Option<ReplicaId>,
     pub(super) log: ReplicaLog,
     pub(super) members: MemberSet,
@@ -108,13 +108,14 @@
     pub(super) leader: Option<ReplicaId>,
     pub(super) grants: BTreeSet<ReplicaId>,
     pub(super) election_due: BootTime,
-    /// Until then this replica votes for nobody, because it has confirmed a lease or may have done so before it started.
+    /// Time until which this replica grants no vote, because it has confirmed a lease or may have done so before a
+    /// restart.
     pub(super) promise_until: BootTime,
-    /// To whom that lease was confirmed, where it is known.
+    /// Leader whose lease was confirmed, if known.
     pub(super) promised_to: Option<ReplicaId>,
-    /// Until then this replica, which led before it started, stands again and again.
+    /// Time until which this replica, which led before it restarted, uses the short [`RETURN_TIMEOUT`].
     pub(super) returns_until: BootTime,
-    /// How often it has stood since it last knew a leader.
+    /// Number of election attempts since this replica last knew a leader.
     pub(super) stood_in_vain: u32,
     pub(super) progress: BTreeMap<ReplicaId, FollowerProgress>,
     pub(super) term_start: LogIndex,
@@ -129,13 +130,13 @@
 }
 
 impl Replica {
-    /// Starts a replica from what it has stored.
+    /// Creates a replica from its stored state.
     ///
-    /// It has forgotten whether it confirmed a lease just before it stopped, so it neither votes nor stands for one
-    /// whole lease; otherwise a second leader could be elected while the first still holds its lease. The wait ends when
-    /// the leader of its term stands for election, which proves that it holds no lease any more. The leader of that term
-    /// itself need not wait at all: what it was as a leader has ended with its process. So after all processes were killed
-    /// at once, the group has a leader again before the wait of the others is over.
+    /// The replica does not know whether it confirmed a lease just before it stopped. It therefore neither votes nor
+    /// starts an election for a full lease; otherwise a second leader could be elected while the first still holds its
+    /// lease. The wait ends early when the leader of the stored term requests votes, which proves that it no longer
+    /// holds a lease. That leader itself does not wait, because its own lease ended with its process. So if all
+    /// processes are killed at once, the group has a leader again before the others have finished waiting.
     pub fn new(now: BootTime, id: ReplicaId, restored: RestoredReplica, seed: u64) -> Self {
         let RestoredReplica { hard_state, log } = restored;
         let (members_index, members) = log.latest_members();
@@ -176,14 +177,14 @@
         replica
     }
 
-    /// Sets how many copies and voters there are to be.
+    /// Sets the minimum number of copies and the maximum number of voters.
     #[must_use]
     pub const fn with_policy(mut self, policy: QuorumPolicy) -> Self {
         self.policy = policy;
         self
     }
 
-    /// Lets time pass; to be called every few milliseconds.
+    /// Advances the time; must be called every few milliseconds.
     pub fn tick(&mut self, now: BootTime) {
         match self.role {
             ReplicaRole::Leader => self.tick_leader(now),
@@ -191,7 +192,7 @@
         }
     }
 
-    /// Takes a message from another replica.
+    /// Handles a message from another replica.
     pub fn step(&mut self, now: BootTime, message: ReplicaMessage) {
         if message.to != self.id {
             return;
@@ -216,10 +217,11 @@
         }
     }
 
-    /// Proposes a command and returns the term and place of its entry.
+    /// Proposes a command and returns the term and index of its entry.
     ///
-    /// The command is committed when an entry with this term comes out at this place; if one with another term does,
-    /// the command is lost. If this replica loses its leadership before either, the outcome is open.
+    /// The command is committed once [`ReplicaOutput::committed`] contains an entry with this term at this index. If
+    /// the entry there has another term, the command is lost. If this replica loses its leadership before either
+    /// happens, the outcome is unknown.
     ///
     /// # Errors
     ///
@@ -231,15 +233,17 @@
         Ok((self.term, self.append_own(EntryPayload::Command(command))))
     }
 
-    /// Tells whether this replica may act for the group at `now`, and what it has applied is all that is committed.
+    /// Returns true if this replica may act for the group at `now`, on a state that includes everything committed in
+    /// earlier terms.
     ///
-    /// That takes a lease that a quorum has confirmed and a committed entry of its own term: before that, entries of
-    /// earlier terms may be committed without this leader knowing it.
+    /// It needs a lease confirmed by a quorum, and a committed entry of its own term. Before that, entries of earlier
+    /// terms may be committed without this leader knowing it.
     pub fn may_act(&self, now: BootTime) -> bool {
         self.role == ReplicaRole::Leader && self.delivered >= self.term_start && now < self.lease_until
     }
 
-    /// Returns when the lease ends, for guards that check it again at the moment of writing.
+    /// Returns the end of the lease, for callers that check it again when they write. Without a lease it is in the
+    /// past.
     pub fn lease_until(&self) -> BootTime {
         match self.role {
             ReplicaRole::Leader if self.delivered >= self.term_start => self.lease_until,
@@ -247,7 +251,7 @@
         }
     }
 
-    /// Returns and clears what the caller has to do.
+    /// Returns the pending work for the caller and clears it.
     pub fn take_output(&mut self) -> ReplicaOutput {
         if self.role == ReplicaRole::Leader {
             self.send_entries();
@@ -258,7 +262,7 @@
         output
     }
 
-    /// Notes that everything in the last output is synced.
+    /// Records that everything in the last output is synced.
     pub fn note_synced(&mut self) {
         self.synced = self.log.last_index();
         if self.role == ReplicaRole::Leader {
@@ -266,42 +270,43 @@
         }
     }
 
-    /// Drops log entries that a stored snapshot contains.
+    /// Removes log entries up to `index`, which a stored snapshot includes.
     pub fn compact(&mut self, index: LogIndex) {
         self.log.compact_to(index.min(self.delivered));
     }
 
-    /// Returns this replica's number.
+    /// Returns the id of this replica.
     pub const fn id(&self) -> ReplicaId {
         self.id
     }
 
-    /// Returns the part that it plays.
+    /// Returns the current role.
     pub const fn role(&self) -> ReplicaRole {
         self.role
     }
 
-    /// Returns its term.
+    /// Returns the current term.
     pub const fn term(&self) -> Term {
         self.term
     }
 
-    /// Returns the leader that it knows of.
+    /// Returns the leader, if this replica knows one.
     pub const fn leader(&self) -> Option<ReplicaId> {
         self.leader
     }
 
-    /// Returns the members as of its last entry.
+    /// Returns the members as of the last entry of the log, committed or not.
     pub const fn members(&self) -> &MemberSet {
         &self.members
     }
 
-    /// Returns the last entry that it has handed out as committed.
+    /// Returns the index of the last entry returned as committed by [`Replica::take_output`], or included in an
+    /// installed or restored snapshot.
     pub const fn delivered(&self) -> LogIndex {
         self.delivered
     }
 
-    /// Returns its log.
+    /// Returns the log.
     pub const fn log(&self) -> &ReplicaLog {
         &self.log
     }
@@ -323,7 +328,8 @@
         self.send_round();
     }
 
-    /// Extends the lease to the latest round that a quorum has answered, counted from when that round was sent.
+    /// Extends the lease according to the latest round that a quorum has replied to, counted from when the round was
+    /// sent.
     pub(super) fn renew_lease(&mut self) {
         let (own, round) = (self.id, self.round);
         let confirmed = self.members.quorum_value(|id| {
@@ -352,7 +358,7 @@
         index
     }
 
-    /// Adds an entry to the log and to what has to be written.
+    /// Adds an entry to the log and to the output to be written.
     pub(super) fn append(&mut self, entry: LogEntry) {
         if let EntryPayload::Members(members) = &entry.payload {
             self.members = members.clone();
@@ -386,7 +392,7 @@
         self.stand_within(now, range);
     }
 
-    /// Draws when this replica stands for election next.
+    /// Schedules the next election attempt at a random time within `range` from now.
     pub(super) fn stand_within(&mut self, now: BootTime, range: Range<Duration>) {
         let delay: Duration = self.random.random_range(range);
         self.election_due = now + delay;
--- a/crates/acaciabay/src/core/consensus/replication.rs
+++ b/crates/acaciabay/src/core/consensus/replication.rs
@@ -1,4 +1,4 @@
-//! Replication: the leader's entries on their way to the followers and back as confirmations.
+//! Log replication: sends the leader's entries to the followers and commits what enough of them have confirmed.
 
 use super::entry::{LogEntry, LogIndex, ReplicaSnapshot, Term};
 use super::log::ReplicaLog;
@@ -9,7 +9,7 @@
 use crate::core::clock::BootTime;
 
 impl Replica {
-    /// Follows whoever sends entries in this term, and promises not to vote for the length of a lease.
+    /// Accepts the sender as the leader of this term and grants no votes for the length of a lease.
     fn follow(&mut self, now: BootTime, from: ReplicaId, term: Term) {
         if self.role != ReplicaRole::Follower || self.leader != Some(from) {
             self.become_follower(now, term, Some(from));
@@ -27,7 +27,8 @@
         let round = request.round;
         let last_new = LogIndex(request.previous_index.0 + request.entries.len() as u64);
         if last_new <= self.commit {
-            // A late or repeated message. The leader has all that is committed, so up to there both logs are equal.
+            // A delayed or duplicated message. The leader has every committed entry, so both logs match up to the
+            // commit index.
             self.send(
                 from,
                 MessageBody::AppendReply {
@@ -50,7 +51,7 @@
             return;
         }
         self.merge_entries(request.entries);
-        // What lies after the entries brought may differ from the leader's log, so it is not committed by this message.
+        // Own entries after those in the message may differ from the leader's, so this message does not commit them.
         self.commit = self.commit.max(request.commit.min(last_new));
         self.send(
             from,
@@ -62,10 +63,11 @@
         );
     }
 
-    /// Returns the last entry that may equal the leader's, if the entry before those brought does not.
+    /// Returns the highest index up to which the log may match the leader's if it differs at the previous index, and
+    /// `None` if it matches there.
     fn find_mismatch(&self, request: &AppendRequest) -> Option<LogIndex> {
         if request.previous_index < self.log.base_index() {
-            // The snapshot contains it, and what a snapshot contains is committed and so equal.
+            // The snapshot includes this entry. Everything in a snapshot is committed, so it matches.
             return None;
         }
         if request.previous_index > self.log.last_index() {
@@ -77,8 +79,8 @@
         Some(self.log.before_term_of(request.previous_index).max(self.commit))
     }
 
-    /// Adds the entries that are new and drops own ones that differ. An entry that is there already stays: a message
-    /// that comes twice or late must not cut off what later ones have brought.
+    /// Appends new entries and replaces conflicting ones. Entries that are already in the log stay, because a delayed
+    /// or duplicated message must not truncate entries that later messages have added.
     fn merge_entries(&mut self, entries: Vec<LogEntry>) {
         for entry in entries {
             if entry.index <= self.log.base_index() || self.log.term_at(entry.index) == Some(entry.term) {
@@ -92,7 +94,7 @@
     }
 
     fn truncate_from(&mut self, index: LogIndex) {
-        assert!(index > self.commit, "a committed entry is never replaced");
+        assert!(index > self.commit, "a committed entry must not be truncated");
         self.log.truncate_from(index);
         self.synced = self.synced.min(index.previous());
         let (members_index, members) = self.log.latest_members();
@@ -157,7 +159,7 @@
                 progress.snapshot = None;
             }
         } else if !accepted && round > 0 {
-            // Entries got lost on the way, or the logs differ: search from the follower's hint on.
+            // Messages were lost or the logs differ: probe from the index that the follower suggests.
             progress.next = index.min(progress.next.previous()).max(progress.matched).next();
             progress.probing = true;
         }
@@ -166,8 +168,9 @@
         self.promote_learner(from);
     }
 
-    /// Commits what a quorum has synced, provided that it contains an entry of this term: an older entry on a quorum
-    /// may still be replaced by a leader that does not have it.
+    /// Commits what a quorum, and at least [`QuorumPolicy::copies`](super::QuorumPolicy::copies) voters, have synced,
+    /// up to an entry of the current term. An entry of an older term may still be replaced by a leader that lacks it,
+    /// even if a quorum has synced it.
     pub(super) fn advance_commit(&mut self) {
         let (own, synced) = (self.id, self.synced);
         let copies = self.policy.copies.max(self.members.quorum());
@@ -185,7 +188,7 @@
         }
     }
 
-    /// Sends a heartbeat with the new round to every other member.
+    /// Sends a heartbeat of the current round to every other member.
     pub(super) fn send_round(&mut self) {
         let others: Vec<ReplicaId> = self.progress.keys().copied().collect();
         for to in others {
@@ -193,7 +196,7 @@
         }
     }
 
-    /// Sends new entries to the members that are not being probed.
+    /// Sends new entries to all members that are not being probed.
     pub(super) fn send_entries(&mut self) {
         let last = self.log.last_index();
         let behind: Vec<ReplicaId> = self
@@ -207,7 +210,8 @@
         }
     }
 
-    /// Sends one message of entries, or an empty one as a heartbeat; tells whether there is more to send.
+    /// Sends one message with entries, which may be empty if it is a heartbeat. Returns true if more can be sent at
+    /// once.
     fn send_append(&mut self, to: ReplicaId, heartbeat: bool) -> bool {
         let Some(progress) = self.progress.get(&to).copied() else {
             return false;
@@ -255,9 +259,10 @@
         more && !progress.probing
     }
 
-    /// Sends a snapshot to a follower named in [`ReplicaOutput::wants_snapshot`](super::ReplicaOutput).
+    /// Sends a snapshot to a follower listed in
+    /// [`ReplicaOutput::wants_snapshot`](super::ReplicaOutput::wants_snapshot).
     ///
-    /// One snapshot is under way to a follower at a time; if it is lost, the caller is asked again.
+    /// At most one snapshot is in flight to each follower. If it is lost, the follower is listed again.
     pub fn send_snapshot(&mut self, to: ReplicaId, snapshot: ReplicaSnapshot) {
         let Some(progress) = self.progress.get_mut(&to) else {
             return;
