--- a/crates/acaciabay/tests/consensus/directed.rs
+++ b/crates/acaciabay/tests/consensus/directed.rs
@@ -1,4 +1,4 @@
-//! Single mechanisms, each with the smallest course of events that goes wrong without it.
+//! Tests of single mechanisms, each with the shortest sequence of events that fails without it.
 
 use acaciabay::core::clock::BootTime;
 use acaciabay::core::consensus::{
@@ -65,7 +65,7 @@
     }
 }
 
-/// Syncs and returns everything that the replica sends.
+/// Syncs the replica's output and returns all messages that it sends.
 fn drain(replica: &mut Replica) -> Vec<ReplicaMessage> {
     let output = replica.take_output();
     replica.note_synced();
@@ -79,7 +79,7 @@
     .concat()
 }
 
-/// Makes the first replica leader of the given term by letting the second one vote for it.
+/// Makes the first replica the leader of `term` with the vote of the second one.
 fn elect(replica: &mut Replica, now: BootTime, term: u64) {
     replica.tick(now);
     replica.step(
@@ -133,8 +133,8 @@
         .any(|message| matches!(message.body, MessageBody::VoteReply { granted: true, .. }))
 }
 
-/// A replica confirms a leader's lease, crashes, restarts within milliseconds and is asked for its vote by a replica
-/// that cannot reach the leader. If it voted, two leaders could give orders to the same engine at once.
+/// A replica confirms a leader's lease, crashes, restarts within milliseconds and gets a vote request from a replica
+/// that cannot reach the leader. If it voted, two leaders could send orders to the same engine at once.
 #[test]
 fn restarted_replica_votes_only_after_one_whole_lease() {
     let mut replica = replica(THIRD, restored(2, &[]));
@@ -144,13 +144,16 @@
     replica.step(at(10) + LEADER_LEASE, vote_request(SECOND, THIRD, 3));
     let late = drain(&mut replica);
 
-    assert!(!granted(&early), "it voted within the lease that it may have confirmed");
+    assert!(
+        !granted(&early),
+        "granted a vote within a lease that it may have confirmed"
+    );
     assert!(granted(&late));
 }
 
-/// A leader's heartbeat takes half a second to its follower and back. The follower may vote for another one lease
-/// after the heartbeat reached it, which may have been just after it was sent; a lease counted from the answer would
-/// still run then, and two leaders would act at once.
+/// A heartbeat and its reply take half a second. The follower may vote for another replica one lease after it received
+/// the heartbeat, possibly just after it was sent. A lease counted from the reply would still be valid then, and two
+/// leaders would act at once.
 #[test]
 fn lease_is_counted_from_when_the_round_was_sent() {
     let mut replica = replica(FIRST, restored(1, &[]));
@@ -164,8 +167,8 @@
     assert!(!replica.may_act(at(1_400 + 781)));
 }
 
-/// An entry of an old term reaches a quorum under a new leader. It may still be replaced by a leader that was elected
-/// without it, so a leader that counts it as committed can lose an accepted table.
+/// A new leader replicates an entry of an older term to a quorum. A leader elected without the entry could still
+/// replace it, so committing it at this point could lose an accepted table.
 #[test]
 fn entries_of_older_terms_are_committed_only_with_one_of_the_own_term() {
     let mut replica = replica(FIRST, restored(2, &[(2, 2)]));
@@ -181,8 +184,8 @@
     assert_eq!((before, replica.delivered()), (LogIndex(1), LogIndex(3)));
 }
 
-/// A leader whose disk is slow counts its own entry before it is synced, and one other replica holds it. When the leader
-/// loses power, one replica of three has the entry: the other two may elect a leader without it.
+/// A leader with a slow disk counts its own copy of an entry before it is synced, and one follower has the entry. If
+/// the leader loses power, only one of three replicas has it, and the other two may elect a leader without it.
 #[test]
 fn leader_counts_its_own_entries_only_when_they_are_synced() {
     let mut replica = replica(FIRST, restored(1, &[]));
@@ -196,8 +199,8 @@
     assert_eq!((before, after), (0, 1));
 }
 
-/// A follower's log goes on after what the leader's message brings, with entries of a deposed leader. If it took the
-/// leader's commit to cover them, it would apply commands that the group never accepted.
+/// A follower's log contains entries of a deposed leader after those in the leader's message. If the leader's commit
+/// index covered them, the follower would apply commands that the group never accepted.
 #[test]
 fn follower_commits_nothing_beyond_what_the_message_brought() {
     let mut replica = replica(THIRD, restored(2, &[(2, 2), (3, 2)]));
@@ -219,7 +222,8 @@
     assert_eq!(replica.delivered(), LogIndex(2));
 }
 
-/// Two candidates ask the same replica in the same term. If it voted for both, both could lead in one term.
+/// Two candidates request the vote of one replica in the same term. If it voted for both, the term could have two
+/// leaders.
 #[test]
 fn replica_votes_once_in_a_term_even_across_a_restart() {
     let mut before = replica(THIRD, restored(1, &[]));
@@ -242,7 +246,7 @@
     assert!(!granted(&drain(&mut before)) && !granted(&drain(&mut after)));
 }
 
-/// A replica without the latest entries asks for votes. If it were elected, accepted tables would be lost.
+/// A replica that lacks the latest entries requests votes. If it were elected, accepted tables would be lost.
 #[test]
 fn replica_with_an_older_log_gets_no_vote() {
     let mut replica = replica(THIRD, restored(2, &[(2, 2)]));
@@ -257,8 +261,8 @@
     assert!(!granted(&drain(&mut replica)));
 }
 
-/// A replica that was cut off for long comes back and asks whether it would be elected. If that alone raised the term,
-/// the leader would be unseated, and all work of the control group would stop for an election.
+/// A replica that was isolated for a long time returns and starts a pre-vote. If the pre-vote raised the term, the
+/// leader would be deposed, and the control group would do no work until the next election is over.
 #[test]
 fn pre_vote_of_a_returning_replica_does_not_unseat_the_leader() {
     let mut replica = replica(FIRST, restored(1, &[]));
@@ -276,8 +280,8 @@
     assert!(!granted(&drain(&mut replica)));
 }
 
-/// An operator removes one host and admits another within the same second. With both changes under way at once, the old
-/// members and the new ones could each form a quorum without the other, and two configurations could be accepted.
+/// An operator removes one host and adds another within the same second. If both changes were pending at once, the old
+/// and the new members could form disjoint quorums, and two configurations could be accepted.
 #[test]
 fn second_change_of_members_waits_for_the_first() {
     let mut replica = replica(FIRST, restored(1, &[]));
@@ -302,8 +306,8 @@
     assert!(third.is_ok());
 }
 
-/// A host is repaired and its new replica has nothing yet. If it counted in the quorum at once and a second host were
-/// lost right then, a quorum could consist of replicas that lack what was accepted.
+/// A repaired host starts with an empty replica. If it counted towards the quorum at once and a second host were lost,
+/// a quorum could consist of replicas that lack accepted entries.
 #[test]
 fn learner_votes_only_after_it_has_caught_up() {
     let entries: Vec<(u64, u64)> = (2..300).map(|index| (index, 1)).collect();
@@ -315,14 +319,14 @@
         host: "host-4".into(),
         address: String::new(),
     };
-    let (index, learner) = replica.change_members(add).expect("nothing else is under way");
+    let (index, learner) = replica.change_members(add).expect("no other change is pending");
     drain(&mut replica);
     replica.step(at(1_420), append_reply(2, index.0, 1));
     let bind = MemberChange::Bind {
         replica: learner,
         disk: DiskId(44),
     };
-    let (index, _) = replica.change_members(bind).expect("nothing else is under way");
+    let (index, _) = replica.change_members(bind).expect("no other change is pending");
     drain(&mut replica);
     replica.step(at(1_430), append_reply(2, index.0, 1));
     let reply = |index: u64| {
@@ -342,8 +346,8 @@
     assert_eq!((early, late), (false, true));
 }
 
-/// A host's data folder was emptied, and the host asks for its place under a new folder. Under its old number it would
-/// have forgotten which entries it had confirmed, and they could be lost.
+/// A host's data folder was emptied, and the host rejoins with a new folder. Under its old replica id it would lack
+/// entries that it had confirmed, and they could be lost.
 #[test]
 fn emptied_disk_does_not_come_back_as_the_old_member() {
     let mut replica = replica(FIRST, restored(1, &[]));
--- a/crates/acaciabay/tests/consensus/main.rs
+++ b/crates/acaciabay/tests/consensus/main.rs
@@ -1,4 +1,5 @@
-//! The replicated log against one plain list, under schedules of faults drawn from fixed seeds.
+//! Consensus tests: randomized fault schedules from fixed seeds, checked against a reference list, and single
+//! scenarios.
 
 mod directed;
 mod schedule;
@@ -11,7 +12,7 @@
 use schedule::{Action, schedules};
 use simulation::Simulation;
 
-/// How many schedules each of the four tests runs; together 20,000.
+/// Number of schedules that each of the four tests runs, 20,000 in total.
 const SCHEDULES: u32 = 5_000;
 
 fn run_schedules(seed: u8) {
@@ -35,48 +36,51 @@
     }
 }
 
-/// Replicas are killed, cut off, paused and lose disks, messages are lost, reordered and repeated. A user would notice
-/// a fault in the group as a key that works again after its withdrawal, or as a booking that runs twice.
+/// All replicas apply the same list of entries while replicas are killed, isolated and paused, disks are lost, and
+/// messages are lost, reordered and duplicated. Users would notice a violation as a revoked key that works again, or as
+/// a booking that runs twice.
 #[test]
 fn every_replica_applies_one_list_first_seed() {
     run_schedules(1);
 }
 
-/// As above, from another seed, so that the four parts run side by side.
+/// Same as above with a second seed. The schedules are split into four tests so that they run in parallel.
 #[test]
 fn every_replica_applies_one_list_second_seed() {
     run_schedules(2);
 }
 
-/// As above, from a third seed.
+/// Same as above with a third seed.
 #[test]
 fn every_replica_applies_one_list_third_seed() {
     run_schedules(3);
 }
 
-/// As above, from a fourth seed.
+/// Same as above with a fourth seed.
 #[test]
 fn every_replica_applies_one_list_fourth_seed() {
     run_schedules(4);
 }
 
-/// Without faults a group elects a leader within two seconds and commits what is proposed; otherwise the schedules
-/// above could pass by never committing anything.
+/// Without faults, a group elects a leader within two seconds and commits all proposals. Otherwise the tests above
+/// could pass without ever committing an entry.
 #[test]
 fn schedules_commit_entries() {
     let mut simulation = Simulation::new(3, 7);
     simulation
         .act(&Action::Run { millis: 2_000 })
-        .expect("nothing goes wrong");
+        .expect("no invariant is violated");
     for _ in 0..50 {
-        simulation.act(&Action::Propose).expect("nothing goes wrong");
-        simulation.act(&Action::Run { millis: 20 }).expect("nothing goes wrong");
+        simulation.act(&Action::Propose).expect("no invariant is violated");
+        simulation
+            .act(&Action::Run { millis: 20 })
+            .expect("no invariant is violated");
     }
-    simulation.heal_and_settle().expect("nothing goes wrong");
+    simulation.heal_and_settle().expect("no invariant is violated");
 
     assert!(
         simulation.acknowledged() >= 50,
-        "only {} were acknowledged",
+        "only {} proposals were acknowledged",
         simulation.acknowledged()
     );
 }
--- a/crates/acaciabay/tests/consensus/schedule.rs
+++ b/crates/acaciabay/tests/consensus/schedule.rs
@@ -1,37 +1,37 @@
-//! Schedules: what happens to a group, in which order.
+//! Randomized schedules of events in a group of replicas.
 
 use proptest::prelude::*;
 
-/// One thing that happens.
+/// Event in a schedule.
 #[derive(Clone, Debug)]
 pub(crate) enum Action {
-    /// Time passes.
+    /// Lets time pass.
     Run { millis: u64 },
-    /// A command is proposed to whoever takes it.
+    /// Proposes a command to the first replica that accepts it.
     Propose,
-    /// A replica's process is killed.
+    /// Kills a replica's process.
     Kill { replica: usize },
-    /// A replica's process is killed in the middle of its next write, of which this many entries reach the disk.
+    /// Kills a replica's process during its next log write, of which only the first `entries` entries reach the disk.
     KillInWrite { replica: usize, entries: usize },
-    /// Killed replicas start again.
+    /// Restarts all killed replicas.
     Restart,
-    /// A replica does nothing for a while; messages to it wait.
+    /// Pauses a replica. Messages to it wait until it resumes.
     Pause { replica: usize, millis: u64 },
-    /// Messages from one replica to another are lost.
+    /// Drops all messages from one replica to another.
     Cut { from: usize, to: usize },
-    /// A replica is cut off from all others.
+    /// Isolates a replica from all others, in both directions.
     Isolate { replica: usize },
-    /// All cuts end.
+    /// Restores all connections.
     Heal,
-    /// A replica writes a snapshot and drops the log before it.
+    /// Makes a replica write a snapshot and remove the log entries that it includes.
     Compact { replica: usize },
-    /// A replica's disk is lost, unless a repair is under way.
+    /// Destroys a replica's disk. Has no effect while a repair is pending or while any replica is down or not a voter.
     LoseDisk { replica: usize },
-    /// The operator replaces the replica whose disk was lost.
+    /// Takes the operator's next step to replace the replica whose disk was lost.
     Repair,
 }
 
-/// A whole schedule.
+/// Group size, random seed and events of one test case.
 #[derive(Clone, Debug)]
 pub(crate) struct Schedule {
     pub(crate) replicas: usize,
--- a/crates/acaciabay/tests/consensus/simulated_disk.rs
+++ b/crates/acaciabay/tests/consensus/simulated_disk.rs
@@ -1,10 +1,10 @@
-//! What a simulated replica has synced.
+//! Simulated disk of a replica.
 
 use acaciabay::core::consensus::{
     HardState, LogAppend, LogEntry, LogIndex, ReplicaLog, ReplicaSnapshot, RestoredReplica,
 };
 
-/// A disk that keeps what was synced, and can lose the rest of a write.
+/// Disk that keeps all synced data and can lose the end of an interrupted write.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SimulatedDisk {
     pub(crate) hard_state: HardState,
@@ -13,7 +13,7 @@
 }
 
 impl SimulatedDisk {
-    /// Returns the disk of a replica that starts with a snapshot.
+    /// Creates the disk of a replica that starts from a snapshot.
     pub(crate) const fn starting_with(hard_state: HardState, snapshot: ReplicaSnapshot) -> Self {
         Self {
             hard_state,
@@ -22,25 +22,25 @@
         }
     }
 
-    /// Replaces everything by a snapshot.
+    /// Replaces the snapshot and removes all entries.
     pub(crate) fn install(&mut self, snapshot: ReplicaSnapshot) {
         self.entries.clear();
         self.snapshot = snapshot;
     }
 
-    /// Writes entries, of which only the first `most` reach the disk.
+    /// Writes entries, of which only the first `most` reach the disk. Removes existing entries from the first index on.
     pub(crate) fn append(&mut self, append: &LogAppend, most: usize) {
         self.entries.retain(|entry| entry.index < append.first);
         self.entries.extend(append.entries.iter().take(most).cloned());
     }
 
-    /// Stores a snapshot beside the log and drops the entries that it contains.
+    /// Stores a snapshot and removes the entries that it includes.
     pub(crate) fn compact(&mut self, snapshot: ReplicaSnapshot) {
         self.entries.retain(|entry| entry.index > snapshot.index);
         self.snapshot = snapshot;
     }
 
-    /// Returns what a process finds when it starts.
+    /// Returns the state that a process restores when it starts.
     pub(crate) fn restore(&self) -> RestoredReplica {
         let ReplicaSnapshot {
             index, term, members, ..
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Returns the last entry that the snapshot contains.
+    /// Returns the index of the last entry that the snapshot includes.
     pub(crate) const fn base(&self) -> LogIndex {
         self.snapshot.index
     }
--- a/crates/acaciabay/tests/consensus/simulation/faults.rs
+++ b/crates/acaciabay/tests/consensus/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! What befalls the hosts of a simulation: processes die and start again, disks are lost and repaired.
+//! Faults and repairs of simulated hosts: killed and restarted processes, isolation, lost disks.
 
 use acaciabay::core::consensus::{DiskId, MemberChange, Replica, ReplicaRole};
 use rand::Rng;
@@ -59,7 +59,8 @@
         self.lost_disk = Some(index);
     }
 
-    /// Takes the next step of a repair at whichever replica leads: remove the old member, admit a new one, bind it.
+    /// Takes the next step of a repair on the current leader: remove the old member, add a new one, or bind it to its
+    /// disk.
     pub(super) fn repair(&mut self) -> Verdict {
         let Some(lost) = self.lost_disk else { return Ok(()) };
         let leads = |host: &Host| {
--- a/crates/acaciabay/tests/consensus/simulation/judge.rs
+++ b/crates/acaciabay/tests/consensus/simulation/judge.rs
@@ -1,11 +1,13 @@
-//! What has to hold in a simulation: one leader at most that acts, one list, nothing acknowledged lost.
+//! Invariants of the simulation: at most one acting leader, the same entries on all replicas, no lost acknowledged
+//! entry.
 
 use acaciabay::core::consensus::{EntryPayload, LogEntry, Replica};
 
 use super::{Host, Simulation, Verdict, decode_value};
 
-/// How long the group gets to recover at the end: rounds in which an operator takes the next step of a repair.
+/// Number of recovery rounds at the end of a simulation. In each, the operator takes the next step of a repair.
 const SETTLE_ROUNDS: u32 = 8;
+/// Length of a recovery round.
 const SETTLE_MILLIS: u64 = 1_500;
 
 impl Simulation {
@@ -13,7 +15,7 @@
         self.acknowledged.len()
     }
 
-    /// Ends all faults and checks that every replica comes to hold the one list with everything acknowledged in it.
+    /// Ends all faults and checks that every member converges to the same list, which includes all acknowledged values.
     pub(crate) fn heal_and_settle(&mut self) -> Verdict {
         self.cuts.clear();
         self.network_is_whole = true;
@@ -35,7 +37,7 @@
         let list = self.committed_list();
         for (_, value) in &self.acknowledged {
             if !list.contains(value) {
-                return Err(format!("value {value} was acknowledged and is lost"));
+                return Err(format!("value {value} was acknowledged but lost"));
             }
         }
         let leader = self
@@ -56,7 +58,7 @@
             if host.applied != list {
                 let held = &host.applied;
                 return Err(format!(
-                    "{} holds {held:?} in place of {list:?}; its leader: {leader:?}",
+                    "{} applied {held:?} instead of {list:?}; leader: {leader:?}",
                     host.name
                 ));
             }
@@ -79,13 +81,13 @@
             .is_some_and(|replica| replica.may_act(self.local_time(index)))
     }
 
-    /// At any moment one replica at most believes that it may act, paused ones included, and it knows all that was
-    /// acknowledged.
+    /// Checks that at most one replica, paused ones included, believes that it may act, and that it has applied every
+    /// acknowledged value.
     pub(super) fn check_leaders(&self) -> Verdict {
         let acting: Vec<&Host> = self.hosts.iter().filter(|host| self.may_act(host)).collect();
         if acting.len() > 1 {
             let names: Vec<&str> = acting.iter().map(|host| host.name.as_str()).collect();
-            return Err(format!("at {} both believe that they lead: {names:?}", self.now));
+            return Err(format!("several acting leaders at {} ms: {names:?}", self.now));
         }
         for host in acting {
             if let Some((index, value)) = self
@@ -94,7 +96,7 @@
                 .find(|(_, value)| !host.applied.contains(value))
             {
                 return Err(format!(
-                    "{} leads without {value}, acknowledged at {index:?}",
+                    "{} leads without value {value}, acknowledged at {index:?}",
                     host.name
                 ));
             }
@@ -110,13 +112,14 @@
         let known = self.truth.entry(entry.index).or_insert((entry.term, value));
         if *known != (entry.term, value) {
             return Err(format!(
-                "two entries at {:?}: {known:?} and {:?}",
+                "conflicting entries at {:?}: {known:?} and {:?}",
                 entry.index,
                 (entry.term, value)
             ));
         }
         self.hosts[index].applied.extend(value);
-        // Only the replica that took a proposal answers the one who made it, but any replica's word would be true.
+        // Only the replica that accepted a proposal replies to its client, but any replica that applies it could
+        // confirm it.
         if let Some(value) = self.waiting.remove(&(entry.term, entry.index)) {
             self.acknowledged.push((entry.index, value));
         }
--- a/crates/acaciabay/tests/consensus/simulation/mod.rs
+++ b/crates/acaciabay/tests/consensus/simulation/mod.rs
@@ -1,6 +1,7 @@
-//! A group of replicas in simulated time, with a network and disks that fail, judged against one plain list.
+//! Simulation of a group of replicas with a virtual clock and with faults of the network, the hosts and the disks.
 //!
-//! Here time passes and messages travel; `faults` is what befalls hosts, `judge` what has to hold all the while.
+//! This module advances the time and delivers messages. `faults` injects faults of hosts, and `judge` checks the
+//! invariants of the group against one reference list of entries.
 
 mod faults;
 mod judge;
@@ -19,25 +20,25 @@
 use crate::schedule::Action;
 use crate::simulated_disk::SimulatedDisk;
 
-/// Time passes in steps of this length.
+/// Length of a time step.
 const STEP_MILLIS: u64 = 10;
-/// Clock rates differ by up to half a percent either way, well within what the leases allow for.
+/// Maximum deviation of a clock rate from real time, in both directions; well within the tolerance of the leases.
 const RATE_SPREAD: f64 = 0.005;
 
 pub(crate) type Verdict = Result<(), String>;
 
-/// A host that may run a replica.
+/// Host that can run a replica.
 #[derive(Debug)]
 struct Host {
     name: String,
-    /// The replica that the data folder is bound to; nothing for an empty folder.
+    /// Replica that the data folder is bound to, or `None` for an empty folder.
     id: Option<ReplicaId>,
     disk_id: DiskId,
     disk: SimulatedDisk,
     running: Option<Replica>,
     applied: Vec<u64>,
     paused_until: u64,
-    /// When set, the process dies in its next write after this many entries.
+    /// If set, the process dies during its next log write, after this many entries.
     dies_in_write: Option<usize>,
     clock_rate: f64,
     clock_start: u64,
@@ -49,7 +50,7 @@
     message: ReplicaMessage,
 }
 
-/// The whole group with its judge.
+/// Simulated group with its network and the data for the invariant checks.
 #[derive(Debug)]
 pub(crate) struct Simulation {
     now: u64,
@@ -57,13 +58,13 @@
     network: Vec<Delivery>,
     cuts: BTreeSet<(usize, usize)>,
     random: StdRng,
-    /// The naive version: what stands at each place of the log, as first applied by anyone.
+    /// Reference log: the entry at each index, as first applied by any replica.
     truth: BTreeMap<LogIndex, (Term, Option<u64>)>,
     waiting: BTreeMap<(Term, LogIndex), u64>,
     acknowledged: Vec<(LogIndex, u64)>,
     next_value: u64,
     lost_disk: Option<usize>,
-    /// Whether messages arrive once, in time and in order, as they do after all faults have ended.
+    /// True once all faults have ended: every message then arrives exactly once, without delay and in order.
     network_is_whole: bool,
 }
 
@@ -204,7 +205,7 @@
         }
         let copies = if self.random.random_ratio(1, 20) { 2 } else { 1 };
         for _ in 0..copies {
-            // Most messages are quick; a few are late enough to arrive after an election.
+            // Most delays are short. A few are long enough for a message to arrive after an election.
             let delay = if self.random.random_ratio(1, 50) { 3_000 } else { 30 };
             let at = self.now + self.random.random_range(1..delay);
             self.network.push(Delivery {
@@ -214,7 +215,7 @@
         }
     }
 
-    /// Does what the replica wants done: syncs, sends, applies.
+    /// Processes the replica's output: syncs, sends and applies.
     fn process(&mut self, index: usize) -> Verdict {
         loop {
             let Some(replica) = &mut self.hosts[index].running else {
--- a/crates/acaciabay/tests/consensus/starts.rs
+++ b/crates/acaciabay/tests/consensus/starts.rs
@@ -1,4 +1,4 @@
-//! Replicas that start again, alone or all together.
+//! Restarts of one replica or of the whole group.
 
 use std::collections::BTreeSet;
 
@@ -28,7 +28,7 @@
     MemberSet::new(rows, ReplicaId(5))
 }
 
-/// A replica that has stored who led in term 7, if it knew that.
+/// Creates a restarted replica that has stored the leader of term 7, if it knew one.
 fn started(now: BootTime, number: u64, leader: Option<ReplicaId>) -> Replica {
     let restored = RestoredReplica {
         hard_state: HardState {
@@ -41,7 +41,7 @@
     Replica::new(now, ReplicaId(number), restored, number)
 }
 
-/// Asks a replica whether it would vote in a term, and tells whether it would.
+/// Sends a pre-vote request to a replica and returns true if it grants the pre-vote.
 fn grants(replica: &mut Replica, now: BootTime, from: ReplicaId, term: u64) -> bool {
     let body = MessageBody::VoteRequest {
         pre_vote: true,
@@ -62,7 +62,7 @@
     replies.any(|body| matches!(body, MessageBody::VoteReply { granted: true, .. }))
 }
 
-/// Lets a millisecond pass for replicas that reach each other at once; returns what they stored.
+/// Ticks all replicas at `now`, delivers their messages without delay, and returns the hard states that they stored.
 fn pass_time(replicas: &mut [Replica], now: u64) -> Vec<(ReplicaId, HardState)> {
     let (mut messages, mut stored) = (Vec::new(), Vec::new());
     for replica in replicas.iter_mut() {
@@ -81,7 +81,7 @@
     stored
 }
 
-/// Runs replicas until one leads; returns when.
+/// Runs the replicas until one of them leads and returns the time of its election.
 fn run_until_leader(replicas: &mut [Replica], from: u64) -> u64 {
     for now in from..from + 5_000 {
         pass_time(replicas, now);
@@ -89,10 +89,10 @@
             return now;
         }
     }
-    panic!("nobody leads");
+    panic!("no leader was elected within five seconds");
 }
 
-/// Lets a replica be for so many milliseconds whom nobody answers; returns when it asked for votes.
+/// Runs a replica that gets no replies for `millis` milliseconds and returns the times at which it requested votes.
 fn stand_unheard(replica: &mut Replica, millis: u64) -> Vec<u64> {
     let mut stood_at = Vec::new();
     for now in 0..millis {
@@ -107,8 +107,9 @@
     stood_at
 }
 
-/// All processes of the group are killed at once and start again. Each must assume that it confirmed a lease just before,
-/// and callers are refused until there is a leader. The one that led knows that its own lease ended with its process.
+/// All processes of the group are killed at once and restart. Each replica must assume that it confirmed a lease just
+/// before, and requests are refused until a leader is elected. The former leader need not wait, because its own lease
+/// ended with its process.
 #[test]
 fn the_leader_returns_at_once_after_all_were_killed() {
     let mut replicas: Vec<_> = (1..=5).map(|number| started(at(0), number, Some(LEADER))).collect();
@@ -119,7 +120,7 @@
     assert_eq!(replicas[0].role(), ReplicaRole::Leader);
 }
 
-/// All were killed and the host of the leader does not come back. The others wait the lease out.
+/// All processes were killed and the leader's host does not come back. The others wait until the lease has expired.
 #[test]
 fn the_others_wait_the_lease_out_without_the_leader() {
     let mut replicas: Vec<_> = (2..=5).map(|number| started(at(0), number, Some(LEADER))).collect();
@@ -129,8 +130,8 @@
     assert!((800..2_700).contains(&elected_at), "{elected_at} ms");
 }
 
-/// Two replicas stand at the same moment and neither gets enough votes. Callers are refused until one of them has stood
-/// again, so that is not left to a whole election timeout.
+/// Two replicas become candidates at the same moment and neither gets enough votes. Requests are refused until the next
+/// attempt succeeds, so that attempt must not wait for a full election timeout.
 #[test]
 fn a_replica_that_stood_in_vain_stands_again_soon() {
     let mut replica = started(at(0), 2, Some(LEADER));
@@ -141,8 +142,8 @@
     assert!(stood_at[1] - stood_at[0] < 420, "{stood_at:?}");
 }
 
-/// The disks of all replicas are slow, so that votes take longer to come than a candidate waits in its second round. If it
-/// went on at that pace, it would drop every vote that is on its way, and nobody would ever lead.
+/// With slow disks, votes arrive later than a candidate waits before its second attempt. If it kept that short timeout,
+/// it would discard every vote in flight, and no leader would ever be elected.
 #[test]
 fn a_replica_that_goes_on_standing_in_vain_leaves_each_round_its_time() {
     let mut replica = started(at(0), 2, Some(LEADER));
@@ -153,8 +154,8 @@
     assert!(pauses[1..].iter().all(|pause| *pause >= 900), "{pauses:?}");
 }
 
-/// A replica starts again while the leader runs on, and another replica that cannot hear the leader stands. If the first
-/// one helped it, there would be two leaders, and two orders at one endpoint.
+/// A replica restarts while the leader keeps running, and another replica that cannot reach the leader starts an
+/// election. If the restarted replica voted for it, two leaders could send conflicting orders to one endpoint.
 #[test]
 fn a_replica_that_starts_again_votes_for_nobody_but_the_leader_it_followed() {
     let mut replica = started(at(0), 2, Some(LEADER));
@@ -163,7 +164,7 @@
     assert!(grants(&mut replica, at(100), LEADER, 8));
 }
 
-/// The replica was stopped before it had stored who leads. It can tell nobody's lease from another's.
+/// The replica stopped before it had stored the leader, so it does not know whose lease it may have confirmed.
 #[test]
 fn a_replica_that_does_not_know_the_leader_waits_the_whole_lease() {
     let mut replica = started(at(0), 2, None);
@@ -172,8 +173,8 @@
     assert!(grants(&mut replica, at(801), LEADER, 8));
 }
 
-/// A request for votes by which the leader came to lead was held up on its way and arrives after its lease was confirmed.
-/// It says nothing about the present.
+/// The vote request with which the leader was elected is delayed and arrives after its lease was confirmed. It does not
+/// prove that the leader has lost its lease.
 #[test]
 fn a_late_request_of_the_leader_ends_no_promise() {
     let mut replica = started(at(0), 2, None);
@@ -199,7 +200,7 @@
     assert!(!grants(&mut replica, at(1_000), OTHER, 9));
 }
 
-/// The leader of a term is stored as soon as it is known, or nobody could tell it after a start.
+/// Every replica stores the leader of a term as soon as it knows it. Otherwise it would not know it after a restart.
 #[test]
 fn who_leads_is_stored() {
     let mut replicas: Vec<_> = (1..=5).map(|number| started(at(0), number, None)).collect();
@@ -216,8 +217,9 @@
     assert_eq!(knowing.len(), 5);
 }
 
-/// All were killed, and the former leader is back before most others can be reached. Each question that gets lost would cost
-/// callers as much as a second election, if it asked again only as late as a candidate does.
+/// All processes were killed, and the former leader is back before most others can be reached. If it repeated a lost
+/// pre-vote request only after a candidate's timeout, each lost request would delay service as long as a second
+/// election.
 #[test]
 fn the_returning_leader_asks_again_soon() {
     let mut replica = started(at(0), 1, Some(LEADER));
