--- a/crates/acaciabay/src/core/consensus/election.rs
+++ b/crates/acaciabay/src/core/consensus/election.rs
@@ -6,7 +6,7 @@
 use super::message::{MessageBody, ReplicaMessage};
 use super::progress::FollowerProgress;
 use super::replica::{Replica, ReplicaRole};
-use super::timing::{ELECTION_TIMEOUT, RETRY_TIMEOUT, RETURN_TIMEOUT};
+use super::timing::{ELECTION_TIMEOUT, FIRST_RETRY_TIMEOUT, RETURNING_LEADER_TIMEOUT};
 use crate::core::clock::BootTime;
 
 impl Replica {
@@ -17,9 +17,9 @@
         }
         let is_returning = now < self.returns_until && self.role != ReplicaRole::Candidate;
         let range = if is_returning {
-            RETURN_TIMEOUT
+            RETURNING_LEADER_TIMEOUT
         } else if self.stood_in_vain == 0 {
-            RETRY_TIMEOUT
+            FIRST_RETRY_TIMEOUT
         } else {
             ELECTION_TIMEOUT
         };
--- a/crates/acaciabay/src/core/consensus/log.rs
+++ b/crates/acaciabay/src/core/consensus/log.rs
@@ -4,7 +4,7 @@
 
 use super::entry::{EntryPayload, LogEntry, LogIndex, Term};
 use super::members::MemberSet;
-use super::timing::{MOST_ENTRIES, MOST_ENTRY_BYTES};
+use super::timing::{MAX_ENTRIES_PER_MESSAGE, MAX_ENTRY_BYTES_PER_MESSAGE};
 
 /// Log of one replica, from the entry after its latest snapshot to the last entry.
 ///
@@ -81,11 +81,16 @@
             return Vec::new();
         };
         let mut bytes = 0;
-        let entries = self.entries.iter().skip(offset).take(MOST_ENTRIES).take_while(|entry| {
-            let fits = bytes == 0 || bytes + entry.payload.size() <= MOST_ENTRY_BYTES;
-            bytes += entry.payload.size();
-            fits
-        });
+        let entries = self
+            .entries
+            .iter()
+            .skip(offset)
+            .take(MAX_ENTRIES_PER_MESSAGE)
+            .take_while(|entry| {
+                let fits = bytes == 0 || bytes + entry.payload.size() <= MAX_ENTRY_BYTES_PER_MESSAGE;
+                bytes += entry.payload.size();
+                fits
+            });
         entries.cloned().collect()
     }
 
--- a/crates/acaciabay/src/core/consensus/membership.rs
+++ b/crates/acaciabay/src/core/consensus/membership.rs
@@ -6,7 +6,7 @@
 use super::members::{DiskId, ReplicaId};
 use super::progress::FollowerProgress;
 use super::replica::{NotLeader, Replica, ReplicaRole};
-use super::timing::{HEARTBEAT_INTERVAL, PROMOTION_LAG};
+use super::timing::{HEARTBEAT_INTERVAL, MAX_PROMOTION_LAG};
 use crate::core::name::HostName;
 
 /// Change to the members of the group.
@@ -129,7 +129,7 @@
     pub(super) fn promote_learner(&mut self, id: ReplicaId) {
         let learner = self.members.get(id).is_some_and(|row| !row.voter && row.disk.is_some());
         let matched = self.progress.get(&id).map_or(LogIndex(0), |progress| progress.matched);
-        let caught_up = matched >= self.members_index && matched.0 + PROMOTION_LAG >= self.commit.0;
+        let caught_up = matched >= self.members_index && matched.0 + MAX_PROMOTION_LAG >= self.commit.0;
         let wanted = self
             .policy
             .voters
@@ -146,7 +146,8 @@
         let states = rows.map(|(id, progress)| FollowerState {
             replica: *id,
             voter: self.members.is_voter(*id),
-            caught_up: progress.matched >= self.members_index && progress.matched.0 + PROMOTION_LAG >= self.commit.0,
+            caught_up: progress.matched >= self.members_index
+                && progress.matched.0 + MAX_PROMOTION_LAG >= self.commit.0,
             silence: self.silence_of(progress),
         });
         states.collect()
--- a/crates/acaciabay/src/core/consensus/replica.rs
+++ b/crates/acaciabay/src/core/consensus/replica.rs
@@ -14,7 +14,8 @@
 use super::message::{MessageBody, ReplicaMessage};
 use super::progress::FollowerProgress;
 use super::timing::{
-    CLOCK_DRIFT, ELECTION_TIMEOUT, HEARTBEAT_INTERVAL, LEADER_GRACE, LEADER_LEASE, RETURN_TIME, RETURN_TIMEOUT,
+    CLOCK_DRIFT, ELECTION_TIMEOUT, HEARTBEAT_INTERVAL, LEADER_LEASE, LEASE_RENEWAL_GRACE, RETURNING_LEADER_PERIOD,
+    RETURNING_LEADER_TIMEOUT,
 };
 use crate::core::clock::BootTime;
 
@@ -113,7 +114,7 @@
     pub(super) promise_until: BootTime,
     /// Leader whose lease was confirmed, if known.
     pub(super) promised_to: Option<ReplicaId>,
-    /// Time until which this replica, which led before it restarted, uses the short [`RETURN_TIMEOUT`].
+    /// Time until which this replica, which led before it restarted, uses the short [`RETURNING_LEADER_TIMEOUT`].
     pub(super) returns_until: BootTime,
     /// Number of election attempts since this replica last knew a leader.
     pub(super) stood_in_vain: u32,
@@ -171,7 +172,7 @@
         };
         if hard_state.leader == Some(id) {
             replica.promise_until = BootTime::default();
-            replica.returns_until = now + RETURN_TIME;
+            replica.returns_until = now + RETURNING_LEADER_PERIOD;
         }
         replica.reset_election(now);
         replica
@@ -315,7 +316,7 @@
         if now >= self.round_due {
             self.start_round(now);
         }
-        if now >= self.lease_until + LEADER_GRACE {
+        if now >= self.lease_until + LEASE_RENEWAL_GRACE {
             self.become_follower(now, self.term, None);
         }
     }
@@ -385,7 +386,7 @@
 
     pub(super) fn reset_election(&mut self, now: BootTime) {
         let range = if now < self.returns_until {
-            RETURN_TIMEOUT
+            RETURNING_LEADER_TIMEOUT
         } else {
             ELECTION_TIMEOUT
         };
--- a/crates/acaciabay/src/core/consensus/replication.rs
+++ b/crates/acaciabay/src/core/consensus/replication.rs
@@ -5,7 +5,7 @@
 use super::members::ReplicaId;
 use super::message::{AppendRequest, MessageBody, ReplicaMessage};
 use super::replica::{Replica, ReplicaRole};
-use super::timing::{LEADER_LEASE, MOST_IN_FLIGHT, SNAPSHOT_ROUNDS};
+use super::timing::{LEADER_LEASE, MAX_IN_FLIGHT_ENTRIES, SNAPSHOT_RETRY_ROUNDS};
 use crate::core::clock::BootTime;
 
 impl Replica {
@@ -220,13 +220,13 @@
         let Some(previous_term) = self.log.term_at(previous_index) else {
             let under_way = progress
                 .snapshot
-                .is_some_and(|(_, sent)| self.round < sent + SNAPSHOT_ROUNDS);
+                .is_some_and(|(_, sent)| self.round < sent + SNAPSHOT_RETRY_ROUNDS);
             if heartbeat && !under_way {
                 self.output.wants_snapshot.insert(to);
             }
             return false;
         };
-        let full = progress.next.0 > progress.matched.0 + MOST_IN_FLIGHT;
+        let full = progress.next.0 > progress.matched.0 + MAX_IN_FLIGHT_ENTRIES;
         let entries = if full && !progress.probing {
             Vec::new()
         } else {
--- a/crates/acaciabay/src/core/consensus/timing.rs
+++ b/crates/acaciabay/src/core/consensus/timing.rs
@@ -27,31 +27,31 @@
 /// Candidates that start at the same moment split the votes. With three of five replicas left, a single vote decides,
 /// and waiting a full election timeout would only prolong the time without a leader. Later attempts wait the full
 /// timeout: otherwise replicas with slow disks would never have time to reply.
-pub(super) const RETRY_TIMEOUT: Range<Duration> = Duration::from_millis(120)..Duration::from_millis(420);
+pub(super) const FIRST_RETRY_TIMEOUT: Range<Duration> = Duration::from_millis(120)..Duration::from_millis(420);
 
 /// Election timeout of a restarted replica that led its last known term, for the first attempt and for repeated ones.
 ///
 /// It gives replicas that restarted at the same time long enough to listen, and is short compared to [`LEADER_LEASE`].
-pub(super) const RETURN_TIMEOUT: Range<Duration> = Duration::from_millis(60)..Duration::from_millis(140);
+pub(super) const RETURNING_LEADER_TIMEOUT: Range<Duration> = Duration::from_millis(60)..Duration::from_millis(140);
 
-/// Time after a restart during which [`RETURN_TIMEOUT`] applies. Hosts that lost power together are back within about
+/// Time after a restart during which [`RETURNING_LEADER_TIMEOUT`] applies. Hosts that lost power together are back within about
 /// a second.
-pub(super) const RETURN_TIME: Duration = Duration::from_millis(1_500);
+pub(super) const RETURNING_LEADER_PERIOD: Duration = Duration::from_millis(1_500);
 
 /// Time that a leader keeps trying to renew an expired lease before it steps down.
-pub(super) const LEADER_GRACE: Duration = Duration::from_millis(500);
+pub(super) const LEASE_RENEWAL_GRACE: Duration = Duration::from_millis(500);
 
 /// Maximum number of entries in one message.
-pub(super) const MOST_ENTRIES: usize = 1_024;
+pub(super) const MAX_ENTRIES_PER_MESSAGE: usize = 1_024;
 
 /// Maximum size of the entries in one message, in bytes. A larger single entry is sent alone.
-pub(super) const MOST_ENTRY_BYTES: usize = 1024 * 1024;
+pub(super) const MAX_ENTRY_BYTES_PER_MESSAGE: usize = 1024 * 1024;
 
 /// Number of unacknowledged entries sent to one follower above which the leader sends no further ones.
-pub(super) const MOST_IN_FLIGHT: u64 = 16 * 1_024;
+pub(super) const MAX_IN_FLIGHT_ENTRIES: u64 = 16 * 1_024;
 
 /// Maximum number of entries by which a learner may trail the commit index when it becomes a voter.
-pub(super) const PROMOTION_LAG: u64 = 64;
+pub(super) const MAX_PROMOTION_LAG: u64 = 64;
 
 /// Number of heartbeat rounds after which an unacknowledged snapshot is sent again. It takes seconds to send and sync.
-pub(super) const SNAPSHOT_ROUNDS: u64 = 50;
+pub(super) const SNAPSHOT_RETRY_ROUNDS: u64 = 50;
