--- a/crates/acaciabay/src/core/consensus/election.rs
+++ b/crates/acaciabay/src/core/consensus/election.rs
@@ -12,24 +12,24 @@
 impl Replica {
     /// Starts a pre-vote when the election timeout of a voter has expired.
     pub(super) fn tick_election(&mut self, now: BootTime) {
-        if now < self.election_due || !self.members.is_voter(self.id) {
+        if now < self.election_deadline || !self.members.is_voter(self.id) {
             return;
         }
-        let is_returning = now < self.returns_until && self.role != ReplicaRole::Candidate;
+        let is_returning = now < self.returning_leader_until && self.role != ReplicaRole::Candidate;
         let range = if is_returning {
             RETURNING_LEADER_TIMEOUT
-        } else if self.stood_in_vain == 0 {
+        } else if self.election_attempts == 0 {
             FIRST_RETRY_TIMEOUT
         } else {
             ELECTION_TIMEOUT
         };
-        self.stand_within(now, range);
-        self.stood_in_vain += 1;
+        self.schedule_election(now, range);
+        self.election_attempts += 1;
         self.role = ReplicaRole::PreCandidate;
         self.leader = None;
-        self.grants.clear();
-        self.grants.insert(self.id);
-        self.ask_votes(Term(self.term.0 + 1), true);
+        self.votes_received.clear();
+        self.votes_received.insert(self.id);
+        self.request_votes(Term(self.term.0 + 1), true);
         self.count_votes(now);
     }
 
@@ -37,7 +37,7 @@
     /// begun.
     pub(super) fn accept_term(&mut self, now: BootTime, message: &ReplicaMessage) -> bool {
         if message.term < self.term {
-            self.tell_newer_term(message);
+            self.reject_older_term(message);
             return false;
         }
         if message.term == self.term {
@@ -51,7 +51,7 @@
                 granted: true,
             } => true,
             // Adopting the term here would depose a leader that still holds its lease.
-            MessageBody::VoteRequest { pre_vote: false, .. } if self.is_promised(now) => false,
+            MessageBody::VoteRequest { pre_vote: false, .. } if self.is_bound_by_lease(now) => false,
             MessageBody::VoteRequest { pre_vote: false, .. }
             | MessageBody::VoteReply { .. }
             | MessageBody::AppendReply { .. } => {
@@ -66,7 +66,7 @@
     }
 
     /// Rejects a request from an older term, so that a deposed leader or an outdated candidate learns the current term.
-    fn tell_newer_term(&mut self, message: &ReplicaMessage) {
+    fn reject_older_term(&mut self, message: &ReplicaMessage) {
         match &message.body {
             MessageBody::VoteRequest { pre_vote, .. } => {
                 let pre_vote = *pre_vote;
@@ -97,28 +97,28 @@
     ///
     /// A leader requests no votes, and the sender can no longer become leader in the term of the lease. A delayed
     /// request from before the sender became leader does not name a later term.
-    pub(super) fn release_promise(&mut self, message: &ReplicaMessage) {
-        let asks = matches!(message.body, MessageBody::VoteRequest { .. });
-        if asks && message.term > self.term && self.promised_to == Some(message.from) {
-            self.promise_until = BootTime::default();
-            self.promised_to = None;
+    pub(super) fn release_confirmed_lease(&mut self, message: &ReplicaMessage) {
+        let requests_votes = matches!(message.body, MessageBody::VoteRequest { .. });
+        if requests_votes && message.term > self.term && self.confirmed_lease_leader == Some(message.from) {
+            self.confirmed_lease_until = BootTime::default();
+            self.confirmed_lease_leader = None;
         }
     }
 
     /// Records the leader of the current term and stores it if it was unknown.
-    pub(super) fn note_term_leader(&mut self, leader: ReplicaId) {
+    pub(super) fn record_term_leader(&mut self, leader: ReplicaId) {
         if self.term_leader != Some(leader) {
             self.term_leader = Some(leader);
             self.store_hard_state();
         }
     }
 
-    fn is_promised(&self, now: BootTime) -> bool {
-        let leads = self.role == ReplicaRole::Leader && now < self.lease_until;
-        leads || now < self.promise_until
+    fn is_bound_by_lease(&self, now: BootTime) -> bool {
+        let holds_lease = self.role == ReplicaRole::Leader && now < self.lease_until;
+        holds_lease || now < self.confirmed_lease_until
     }
 
-    pub(super) fn answer_vote(
+    pub(super) fn handle_vote_request(
         &mut self,
         now: BootTime,
         from: ReplicaId,
@@ -127,12 +127,12 @@
         candidate_last: (Term, LogIndex),
     ) {
         let own_last = (self.log.last_term(), self.log.last_index());
-        let free = pre_vote || self.vote.is_none_or(|vote| vote == from);
-        let granted = free && candidate_last >= own_last && !self.is_promised(now);
+        let can_vote = pre_vote || self.vote.is_none_or(|vote| vote == from);
+        let granted = can_vote && candidate_last >= own_last && !self.is_bound_by_lease(now);
         if granted && !pre_vote {
             self.vote = Some(from);
             self.store_hard_state();
-            self.reset_election(now);
+            self.reset_election_timer(now);
         }
         let body = MessageBody::VoteReply { pre_vote, granted };
         // A granted pre-vote carries the requested term, so that the candidate does not mistake it for a newer term.
@@ -145,14 +145,21 @@
         });
     }
 
-    pub(super) fn take_vote(&mut self, now: BootTime, from: ReplicaId, term: Term, pre_vote: bool, granted: bool) {
+    pub(super) fn handle_vote_reply(
+        &mut self,
+        now: BootTime,
+        from: ReplicaId,
+        term: Term,
+        pre_vote: bool,
+        granted: bool,
+    ) {
         let expected = match self.role {
             ReplicaRole::PreCandidate => pre_vote && term.0 == self.term.0 + 1,
             ReplicaRole::Candidate => !pre_vote && term == self.term,
             ReplicaRole::Follower | ReplicaRole::Leader => false,
         };
         if expected && granted {
-            self.grants.insert(from);
+            self.votes_received.insert(from);
             self.count_votes(now);
         }
     }
@@ -161,7 +168,7 @@
         let granted = self
             .members
             .voters()
-            .filter(|voter| self.grants.contains(voter))
+            .filter(|voter| self.votes_received.contains(voter))
             .count();
         if granted < self.members.quorum() {
             return;
@@ -175,7 +182,7 @@
 
     fn become_candidate(&mut self, now: BootTime) {
         // During the pre-vote, this replica may have confirmed a leader's lease.
-        if self.is_promised(now) {
+        if self.is_bound_by_lease(now) {
             self.become_follower(now, self.term, None);
             return;
         }
@@ -184,13 +191,13 @@
         self.term_leader = None;
         self.store_hard_state();
         self.role = ReplicaRole::Candidate;
-        self.grants.clear();
-        self.grants.insert(self.id);
-        self.ask_votes(self.term, false);
+        self.votes_received.clear();
+        self.votes_received.insert(self.id);
+        self.request_votes(self.term, false);
         self.count_votes(now);
     }
 
-    fn ask_votes(&mut self, term: Term, pre_vote: bool) {
+    fn request_votes(&mut self, term: Term, pre_vote: bool) {
         let (last_index, last_term) = (self.log.last_index(), self.log.last_term());
         let others: Vec<ReplicaId> = self.members.voters().filter(|voter| *voter != self.id).collect();
         for to in others {
@@ -211,9 +218,9 @@
     fn become_leader(&mut self, now: BootTime) {
         self.role = ReplicaRole::Leader;
         self.leader = Some(self.id);
-        self.returns_until = BootTime::default();
-        self.stood_in_vain = 0;
-        self.note_term_leader(self.id);
+        self.returning_leader_until = BootTime::default();
+        self.election_attempts = 0;
+        self.record_term_leader(self.id);
         self.round = 0;
         self.rounds.clear();
         // The leader holds no lease yet. This starts the period in which a quorum must confirm the first one.
--- a/crates/acaciabay/src/core/consensus/replica.rs
+++ b/crates/acaciabay/src/core/consensus/replica.rs
@@ -107,17 +107,17 @@
     pub(super) synced: LogIndex,
     pub(super) role: ReplicaRole,
     pub(super) leader: Option<ReplicaId>,
-    pub(super) grants: BTreeSet<ReplicaId>,
-    pub(super) election_due: BootTime,
+    pub(super) votes_received: BTreeSet<ReplicaId>,
+    pub(super) election_deadline: BootTime,
     /// Time until which this replica grants no vote, because it has confirmed a lease or may have done so before a
     /// restart.
-    pub(super) promise_until: BootTime,
+    pub(super) confirmed_lease_until: BootTime,
     /// Leader whose lease was confirmed, if known.
-    pub(super) promised_to: Option<ReplicaId>,
+    pub(super) confirmed_lease_leader: Option<ReplicaId>,
     /// Time until which this replica, which led before it restarted, uses the short [`RETURNING_LEADER_TIMEOUT`].
-    pub(super) returns_until: BootTime,
+    pub(super) returning_leader_until: BootTime,
     /// Number of election attempts since this replica last knew a leader.
-    pub(super) stood_in_vain: u32,
+    pub(super) election_attempts: u32,
     pub(super) progress: BTreeMap<ReplicaId, FollowerProgress>,
     pub(super) term_start: LogIndex,
     pub(super) round: u64,
@@ -154,12 +154,12 @@
             log,
             role: ReplicaRole::Follower,
             leader: None,
-            grants: BTreeSet::new(),
-            election_due: now,
-            promise_until: now + LEADER_LEASE,
-            promised_to: hard_state.leader,
-            returns_until: BootTime::default(),
-            stood_in_vain: 0,
+            votes_received: BTreeSet::new(),
+            election_deadline: now,
+            confirmed_lease_until: now + LEADER_LEASE,
+            confirmed_lease_leader: hard_state.leader,
+            returning_leader_until: BootTime::default(),
+            election_attempts: 0,
             progress: BTreeMap::new(),
             term_start: LogIndex(0),
             round: 0,
@@ -171,10 +171,10 @@
             random: StdRng::seed_from_u64(seed),
         };
         if hard_state.leader == Some(id) {
-            replica.promise_until = BootTime::default();
-            replica.returns_until = now + RETURNING_LEADER_PERIOD;
+            replica.confirmed_lease_until = BootTime::default();
+            replica.returning_leader_until = now + RETURNING_LEADER_PERIOD;
         }
-        replica.reset_election(now);
+        replica.reset_election_timer(now);
         replica
     }
 
@@ -198,7 +198,7 @@
         if message.to != self.id {
             return;
         }
-        self.release_promise(&message);
+        self.release_confirmed_lease(&message);
         if !self.accept_term(now, &message) {
             return;
         }
@@ -209,9 +209,9 @@
                 last_index,
                 last_term,
             } => {
-                self.answer_vote(now, from, term, pre_vote, (last_term, last_index));
+                self.handle_vote_request(now, from, term, pre_vote, (last_term, last_index));
             }
-            MessageBody::VoteReply { pre_vote, granted } => self.take_vote(now, from, term, pre_vote, granted),
+            MessageBody::VoteReply { pre_vote, granted } => self.handle_vote_reply(now, from, term, pre_vote, granted),
             MessageBody::AppendRequest(request) => self.take_append(now, from, term, request),
             MessageBody::AppendReply { accepted, index, round } => self.take_reply(from, accepted, index, round),
             MessageBody::SnapshotRequest { snapshot, round } => self.take_snapshot(now, from, term, snapshot, round),
@@ -384,19 +384,19 @@
         self.output.messages.push(message);
     }
 
-    pub(super) fn reset_election(&mut self, now: BootTime) {
-        let range = if now < self.returns_until {
+    pub(super) fn reset_election_timer(&mut self, now: BootTime) {
+        let range = if now < self.returning_leader_until {
             RETURNING_LEADER_TIMEOUT
         } else {
             ELECTION_TIMEOUT
         };
-        self.stand_within(now, range);
+        self.schedule_election(now, range);
     }
 
     /// Schedules the next election attempt at a random time within `range` from now.
-    pub(super) fn stand_within(&mut self, now: BootTime, range: Range<Duration>) {
+    pub(super) fn schedule_election(&mut self, now: BootTime, range: Range<Duration>) {
         let delay: Duration = self.random.random_range(range);
-        self.election_due = now + delay;
+        self.election_deadline = now + delay;
     }
 
     pub(super) fn store_hard_state(&mut self) {
@@ -416,10 +416,10 @@
         }
         self.role = ReplicaRole::Follower;
         self.leader = leader;
-        self.grants.clear();
+        self.votes_received.clear();
         self.progress.clear();
         self.rounds.clear();
-        self.reset_election(now);
+        self.reset_election_timer(now);
     }
 
     pub(super) fn set_delivered(&mut self, index: LogIndex) {
--- a/crates/acaciabay/src/core/consensus/replication.rs
+++ b/crates/acaciabay/src/core/consensus/replication.rs
@@ -14,12 +14,12 @@
         if self.role != ReplicaRole::Follower || self.leader != Some(from) {
             self.become_follower(now, term, Some(from));
         }
-        self.note_term_leader(from);
-        self.returns_until = BootTime::default();
-        self.stood_in_vain = 0;
-        self.reset_election(now);
-        self.promise_until = self.promise_until.max(now + LEADER_LEASE);
-        self.promised_to = Some(from);
+        self.record_term_leader(from);
+        self.returning_leader_until = BootTime::default();
+        self.election_attempts = 0;
+        self.reset_election_timer(now);
+        self.confirmed_lease_until = self.confirmed_lease_until.max(now + LEADER_LEASE);
+        self.confirmed_lease_leader = Some(from);
     }
 
     pub(super) fn take_append(&mut self, now: BootTime, from: ReplicaId, term: Term, request: AppendRequest) {
--- a/crates/acaciabay/src/core/consensus/timing.rs
+++ b/crates/acaciabay/src/core/consensus/timing.rs
@@ -34,8 +34,8 @@
 /// It gives replicas that restarted at the same time long enough to listen, and is short compared to [`LEADER_LEASE`].
 pub(super) const RETURNING_LEADER_TIMEOUT: Range<Duration> = Duration::from_millis(60)..Duration::from_millis(140);
 
-/// Time after a restart during which [`RETURNING_LEADER_TIMEOUT`] applies. Hosts that lost power together are back within about
-/// a second.
+/// Time after a restart during which [`RETURNING_LEADER_TIMEOUT`] applies. Hosts that lost power together are back
+/// within about a second.
 pub(super) const RETURNING_LEADER_PERIOD: Duration = Duration::from_millis(1_500);
 
 /// Time that a leader keeps trying to renew an expired lease before it steps down.
