--- a/crates/acaciabay/src/core/serving/config_chain.rs
+++ b/crates/acaciabay/src/core/serving/config_chain.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 
 use super::config::ConfigNumber;
-use crate::util::byte_delta::{ByteDelta, DeltaMisfit};
+use crate::util::byte_delta::{ByteDelta, DeltaMismatch};
 
 /// A configuration as its operator sent it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -120,8 +120,8 @@
 
 impl std::error::Error for ChainBreak {}
 
-impl From<DeltaMisfit> for ChainBreak {
-    fn from(_misfit: DeltaMisfit) -> Self {
+impl From<DeltaMismatch> for ChainBreak {
+    fn from(_misfit: DeltaMismatch) -> Self {
         Self::Misfit
     }
 }
--- a/crates/acaciabay/src/util/byte_delta.rs
+++ b/crates/acaciabay/src/util/byte_delta.rs
@@ -11,9 +11,9 @@
 use fastcdc::v2020::{Chunk, FastCDC};
 
 /// Shortest, usual and longest chunk by which equal parts are found, in bytes: a route is a few hundred bytes long.
-const CHUNK_BYTES: (usize, usize, usize) = (64, 256, 1_024);
+const CHUNK_SIZES: (usize, usize, usize) = (64, 256, 1_024);
 /// The largest result that is put together, in bytes: far beyond every configuration, within every process's memory.
-const LARGEST_RESULT: usize = 64 * 1024 * 1024;
+const MAX_RESULT_BYTES: usize = 64 * 1024 * 1024;
 
 /// A part of the result.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -37,43 +37,45 @@
 
 /// The delta was made for another base, or its result would be too large.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct DeltaMisfit;
+pub struct DeltaMismatch;
 
-impl std::fmt::Display for DeltaMisfit {
+impl std::fmt::Display for DeltaMismatch {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("the delta does not fit its base")
     }
 }
 
-impl std::error::Error for DeltaMisfit {}
+impl std::error::Error for DeltaMismatch {}
 
 impl ByteDelta {
     /// Finds what turns `base` into `target`.
     pub fn between(base: &[u8], target: &Bytes) -> Self {
-        let places: HashMap<&[u8], usize> = chunks(base)
-            .map(|chunk| (bytes_of(base, &chunk), chunk.offset))
+        let offsets: HashMap<&[u8], usize> = chunks(base)
+            .map(|chunk| (chunk_bytes(base, &chunk), chunk.offset))
             .collect();
-        let mut delta = DeltaMaker {
+        let mut delta = DeltaBuilder {
             base,
             target,
-            done: 0,
-            next: 0,
+            encoded_end: 0,
+            base_next: 0,
             pieces: Vec::new(),
         };
-        delta.keep(0, 0);
+        delta.copy_match(0, 0);
         for chunk in chunks(target) {
             // A chunk of which a part is kept already is looked at no more: what follows it is found by the next one.
-            if chunk.offset < delta.done {
+            if chunk.offset < delta.encoded_end {
                 continue;
             }
-            let bytes = bytes_of(target, &chunk);
-            let follows = base.get(delta.next..).is_some_and(|rest| rest.starts_with(bytes));
-            let place = follows.then_some(delta.next).or_else(|| places.get(bytes).copied());
-            if let Some(place) = place {
-                delta.keep(place, chunk.offset);
+            let bytes = chunk_bytes(target, &chunk);
+            let follows = base.get(delta.base_next..).is_some_and(|rest| rest.starts_with(bytes));
+            let base_offset = follows
+                .then_some(delta.base_next)
+                .or_else(|| offsets.get(bytes).copied());
+            if let Some(base_offset) = base_offset {
+                delta.copy_match(base_offset, chunk.offset);
             }
         }
-        delta.insert_to(target.len());
+        delta.insert_until(target.len());
         Self::from_pieces(delta.pieces)
     }
 
@@ -101,18 +103,18 @@
     /// # Errors
     ///
     /// Fails when a piece lies outside the base, or the result would be larger than 64 MiB.
-    pub fn apply(&self, base: &[u8]) -> Result<Bytes, DeltaMisfit> {
+    pub fn apply(&self, base: &[u8]) -> Result<Bytes, DeltaMismatch> {
         let mut result = BytesMut::new();
         for piece in self.pieces.iter() {
             let bytes = match piece {
                 DeltaPiece::Kept { start, length } => {
-                    let end = start.checked_add(*length).ok_or(DeltaMisfit)?;
-                    base.get(*start..end).ok_or(DeltaMisfit)?
+                    let end = start.checked_add(*length).ok_or(DeltaMismatch)?;
+                    base.get(*start..end).ok_or(DeltaMismatch)?
                 }
                 DeltaPiece::Inserted(bytes) => bytes,
             };
-            if result.len() + bytes.len() > LARGEST_RESULT {
-                return Err(DeltaMisfit);
+            if result.len() + bytes.len() > MAX_RESULT_BYTES {
+                return Err(DeltaMismatch);
             }
             result.extend_from_slice(bytes);
         }
@@ -122,51 +124,51 @@
 
 /// A delta of which the first pieces are known.
 #[derive(Debug)]
-struct DeltaMaker<'bytes> {
+struct DeltaBuilder<'bytes> {
     base: &'bytes [u8],
     target: &'bytes Bytes,
     /// Up to where the pieces give the target.
-    done: usize,
+    encoded_end: usize,
     /// Where the base goes on behind the last part that was kept.
-    next: usize,
+    base_next: usize,
     pieces: Vec<DeltaPiece>,
 }
 
-impl DeltaMaker<'_> {
-    /// Keeps as much as is equal around `place` in the base and `at` in the target.
-    fn keep(&mut self, place: usize, at: usize) {
-        let open = &self.target[self.done..at];
-        let before = self.base[..place].iter().rev().zip(open.iter().rev());
-        let back = before.take_while(|(one, other)| one == other).count();
-        let after = self.base[place..].iter().zip(&self.target[at..]);
-        let ahead = after.take_while(|(one, other)| one == other).count();
-        if back + ahead == 0 {
+impl DeltaBuilder<'_> {
+    /// Keeps as much as is equal around `base_offset` in the base and `target_offset` in the target.
+    fn copy_match(&mut self, base_offset: usize, target_offset: usize) {
+        let unencoded = &self.target[self.encoded_end..target_offset];
+        let before = self.base[..base_offset].iter().rev().zip(unencoded.iter().rev());
+        let matched_before = before.take_while(|(one, other)| one == other).count();
+        let after = self.base[base_offset..].iter().zip(&self.target[target_offset..]);
+        let matched_after = after.take_while(|(one, other)| one == other).count();
+        if matched_before + matched_after == 0 {
             return;
         }
-        self.insert_to(at - back);
+        self.insert_until(target_offset - matched_before);
         self.pieces.push(DeltaPiece::Kept {
-            start: place - back,
-            length: back + ahead,
+            start: base_offset - matched_before,
+            length: matched_before + matched_after,
         });
-        self.done = at + ahead;
-        self.next = place + ahead;
+        self.encoded_end = target_offset + matched_after;
+        self.base_next = base_offset + matched_after;
     }
 
     /// Inserts the target's bytes up to `end` that no piece gives yet.
-    fn insert_to(&mut self, end: usize) {
-        if end > self.done {
+    fn insert_until(&mut self, end: usize) {
+        if end > self.encoded_end {
             self.pieces
-                .push(DeltaPiece::Inserted(self.target.slice(self.done..end)));
-            self.done = end;
+                .push(DeltaPiece::Inserted(self.target.slice(self.encoded_end..end)));
+            self.encoded_end = end;
         }
     }
 }
 
 fn chunks(bytes: &[u8]) -> FastCDC<'_> {
-    let (shortest, usual, longest) = CHUNK_BYTES;
-    FastCDC::new(bytes, shortest, usual, longest)
+    let (min, average, max) = CHUNK_SIZES;
+    FastCDC::new(bytes, min, average, max)
 }
 
-fn bytes_of<'bytes>(whole: &'bytes [u8], chunk: &Chunk) -> &'bytes [u8] {
+fn chunk_bytes<'bytes>(whole: &'bytes [u8], chunk: &Chunk) -> &'bytes [u8] {
     &whole[chunk.offset..chunk.offset + chunk.length]
 }
--- a/crates/acaciabay/tests/naive/deltas.rs
+++ b/crates/acaciabay/tests/naive/deltas.rs
@@ -1,6 +1,6 @@
 //! Deltas against the naive way, which is to take the target as it is.
 
-use acaciabay::util::byte_delta::{ByteDelta, DeltaMisfit, DeltaPiece};
+use acaciabay::util::byte_delta::{ByteDelta, DeltaMismatch, DeltaPiece};
 use bytes::Bytes;
 use proptest::prelude::*;
 
@@ -54,15 +54,15 @@
 fn a_delta_for_another_base_is_refused() {
     let kept = |start, length| ByteDelta::from_pieces(vec![DeltaPiece::Kept { start, length }]);
 
-    assert_eq!(kept(2, 3).apply(b"four"), Err(DeltaMisfit));
-    assert_eq!(kept(usize::MAX, 2).apply(b"four"), Err(DeltaMisfit));
+    assert_eq!(kept(2, 3).apply(b"four"), Err(DeltaMismatch));
+    assert_eq!(kept(usize::MAX, 2).apply(b"four"), Err(DeltaMismatch));
     let base = vec![0; 1 << 20];
     let whole = DeltaPiece::Kept {
         start: 0,
         length: base.len(),
     };
     let huge = vec![whole; 65];
-    assert_eq!(ByteDelta::from_pieces(huge).apply(&base), Err(DeltaMisfit));
+    assert_eq!(ByteDelta::from_pieces(huge).apply(&base), Err(DeltaMismatch));
 }
 
 proptest! {
