--- a/crates/acacia-control/src/serving/founding.rs
+++ b/crates/acacia-control/src/serving/founding.rs
@@ -78,7 +78,7 @@
     let members = MemberSet::new(rows, ReplicaId(number(peers.len() - 1)));
     let text: Vec<String> = peers.iter().map(ToString::to_string).collect();
     let identity = FolderIdentity {
-        group: rendezvous::seed(text.join(",").as_bytes()).max(1),
+        group: rendezvous::hash(text.join(",").as_bytes()).max(1),
         disk: DiskId(number(place)),
         replica: None,
     };
--- a/crates/acacia-entry/src/serving/call.rs
+++ b/crates/acacia-entry/src/serving/call.rs
@@ -159,7 +159,7 @@
         Err(BodyRefusal::TooLarge) => return Err((Some(head), CallRefusal::BodyTooLarge)),
         Err(BodyRefusal::TimedOut | BodyRefusal::Broken) => return Err((Some(head), CallRefusal::BodyLate)),
     };
-    let draw = rendezvous::seed(head.request.as_bytes());
+    let draw = rendezvous::hash(head.request.as_bytes());
     let Some(service) = admitted.route.pick_service(draw).cloned() else {
         return Err((Some(head), CallRefusal::NoRoute));
     };
--- a/crates/acaciabay/src/core/subset_plan.rs
+++ b/crates/acaciabay/src/core/subset_plan.rs
@@ -31,7 +31,7 @@
         }
         self.hearers.clear();
         self.entries = hosts()
-            .map(|host| (host.clone(), rendezvous::seed(host.as_str().as_bytes())))
+            .map(|host| (host.clone(), rendezvous::hash(host.as_str().as_bytes())))
             .collect();
         true
     }
@@ -51,10 +51,10 @@
 }
 
 fn pick_hearers(entries: &[(HostName, u64)], endpoint: &EndpointName) -> Vec<HostName> {
-    let seed = rendezvous::seed(endpoint.as_str().as_bytes());
+    let endpoint_hash = rendezvous::hash(endpoint.as_str().as_bytes());
     let mut scored: Vec<(u64, &HostName)> = entries
         .iter()
-        .map(|(host, entry)| (rendezvous::combine(*entry, seed), host))
+        .map(|(host, entry_hash)| (rendezvous::combine_hashes(*entry_hash, endpoint_hash), host))
         .collect();
     if scored.len() > HEARERS {
         scored.select_nth_unstable_by(HEARERS - 1, |first, second| second.cmp(first));
--- a/crates/acaciabay/src/ops/place_call.rs
+++ b/crates/acaciabay/src/ops/place_call.rs
@@ -62,7 +62,7 @@
 
 /// Returns a number that is drawn anew for each call and endpoint.
 fn drawn(draw: u64, name: &EndpointName) -> u64 {
-    rendezvous::combine(draw, rendezvous::seed(name.as_str().as_bytes()))
+    rendezvous::combine_hashes(draw, rendezvous::hash(name.as_str().as_bytes()))
 }
 
 /// Chooses where a plain call goes; `draw` spreads calls over endpoints that are equally good.
--- a/crates/acaciabay/src/util/rendezvous.rs
+++ b/crates/acaciabay/src/util/rendezvous.rs
@@ -7,11 +7,11 @@
 
 /// Scores a candidate for a key; equal inputs score equally on every host and in every release.
 pub fn score(key: &[u8], candidate: &[u8]) -> u64 {
-    combine(seed(key), seed(candidate))
+    combine_hashes(hash(key), hash(candidate))
 }
 
 /// Hashes one side of a pair, for callers who score it against many others.
-pub fn seed(bytes: &[u8]) -> u64 {
+pub fn hash(bytes: &[u8]) -> u64 {
     let digest = Sha256::digest(bytes);
     let mut first = [0; 8];
     first.copy_from_slice(&digest[..8]);
@@ -19,7 +19,7 @@
 }
 
 /// Scores a pair by the hashes of its sides. The constants are those of the `SplitMix64` finaliser.
-pub const fn combine(key: u64, candidate: u64) -> u64 {
+pub const fn combine_hashes(key: u64, candidate: u64) -> u64 {
     let mut mixed = key ^ candidate.rotate_left(32);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/acaciabay/tests/serving/placement.rs
+++ b/crates/acaciabay/tests/serving/placement.rs
@@ -54,7 +54,7 @@
 
     let mut streams = BTreeMap::new();
     for entry in 0..200_u64 {
-        let draw = rendezvous::seed(&entry.to_be_bytes());
+        let draw = rendezvous::hash(&entry.to_be_bytes());
         let chosen = place_stream(&view, &candidates(&rows), 400_000, None, draw).expect("there are engines");
         *streams.entry(chosen).or_insert(0) += 1;
     }
