--- a/crates/acacia-entry/src/service_call.rs
+++ b/crates/acacia-entry/src/service_call.rs
@@ -9,7 +9,7 @@
 use acacia_runtime::trace::{TRACEPARENT, TraceContext};
 use acacia_wire::{ClaimRequest, EntryAnswer, EntryCall};
 use acaciabay::core::attempt::AttemptState;
-use acaciabay::core::claim::{ClaimHolder, ClaimKey, ClaimOutcome, LARGEST_STORED_ANSWER, StoredAnswer};
+use acaciabay::core::claim::{ClaimHolder, ClaimKey, ClaimOutcome, MAX_STORED_ANSWER_BYTES, StoredAnswer};
 use acaciabay::core::control_state::ClaimEnd;
 use acaciabay::core::endpoint::EndpointRow;
 use acaciabay::core::fair_queue::RequestCost;
@@ -425,7 +425,7 @@
     StoredAnswer {
         status: answer.status.as_u16(),
         content_type: kind.to_owned(),
-        body: (answer.body.len() <= LARGEST_STORED_ANSWER).then(|| answer.body.clone()),
+        body: (answer.body.len() <= MAX_STORED_ANSWER_BYTES).then(|| answer.body.clone()),
     }
 }
 
--- a/crates/acaciabay/src/core/claim.rs
+++ b/crates/acaciabay/src/core/claim.rs
@@ -17,14 +17,14 @@
 pub const CLAIM_RETENTION_SECS: u64 = 24 * 60 * 60;
 
 /// How long after the answer was dropped its key is still remembered, so that a late resend is refused, not run anew.
-pub const CLAIM_MEMORY_SECS: u64 = 7 * 24 * 60 * 60;
+pub const EXPIRED_CLAIM_RETENTION_SECS: u64 = 7 * 24 * 60 * 60;
 
 /// The most claims that are remembered at once. A new claim beyond it is refused rather than an old one forgotten,
 /// since forgetting a young claim would let its resend run a second time.
-pub const MOST_CLAIMS: usize = 1_000_000;
+pub const MAX_CLAIMS: usize = 1_000_000;
 
 /// The largest answer that is stored; a larger one is remembered as finished without its body.
-pub const LARGEST_STORED_ANSWER: usize = 64 * 1024;
+pub const MAX_STORED_ANSWER_BYTES: usize = 64 * 1024;
 
 /// Identifies a claim: the caller's key within its customer's own name space.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -51,7 +51,7 @@
     pub status: u16,
     /// The content type, empty when the service sent none.
     pub content_type: String,
-    /// The body, or nothing when it was larger than [`LARGEST_STORED_ANSWER`].
+    /// The body, or nothing when it was larger than [`MAX_STORED_ANSWER_BYTES`].
     pub body: Option<Bytes>,
 }
 
@@ -133,7 +133,7 @@
         if let Some(row) = self.rows.get(key) {
             return outcome_of(row, holder, digest);
         }
-        if self.rows.len() >= MOST_CLAIMS {
+        if self.rows.len() >= MAX_CLAIMS {
             return ClaimOutcome::Full;
         }
         let claimed_at = self.by_age.back().map_or(now, |(latest, _)| now.max(*latest));
@@ -152,43 +152,43 @@
 
     /// Stores the answer of the call that the holder claimed.
     pub fn finish(&mut self, key: &ClaimKey, holder: ClaimHolder, answer: StoredAnswer) {
-        if let Some(row) = self.running(key, holder) {
+        if let Some(row) = self.running_row(key, holder) {
             row.state = ClaimState::Finished(answer);
         }
     }
 
     /// Records that the holder wrote the call and lost sight of it.
-    pub fn lose(&mut self, key: &ClaimKey, holder: ClaimHolder) {
-        if let Some(row) = self.running(key, holder) {
+    pub fn mark_unknown(&mut self, key: &ClaimKey, holder: ClaimHolder) {
+        if let Some(row) = self.running_row(key, holder) {
             row.state = ClaimState::Unknown;
         }
     }
 
     /// Gives back a claim whose call was never written, so that a resend may run.
     pub fn release(&mut self, key: &ClaimKey, holder: ClaimHolder) {
-        if self.running(key, holder).is_some() {
+        if self.running_row(key, holder).is_some() {
             self.rows.remove(key);
             self.by_age.retain(|(_, claimed)| claimed != key);
         }
     }
 
     /// Turns the running claims of an entry process that is gone into ones of unknown outcome.
-    pub fn lose_holder(&mut self, incarnation: EntryIncarnation) {
+    pub fn mark_holder_unknown(&mut self, incarnation: EntryIncarnation) {
         let running = self.rows.values_mut().filter(|row| row.state == ClaimState::Running);
         for row in running.filter(|row| row.holder.incarnation == incarnation) {
             row.state = ClaimState::Unknown;
         }
     }
 
-    fn running(&mut self, key: &ClaimKey, holder: ClaimHolder) -> Option<&mut ClaimRow> {
+    fn running_row(&mut self, key: &ClaimKey, holder: ClaimHolder) -> Option<&mut ClaimRow> {
         let row = self.rows.get_mut(key)?;
         (row.holder == holder && row.state == ClaimState::Running).then_some(row)
     }
 
     fn expire(&mut self, now: WallTime) {
-        let memory = CLAIM_RETENTION_SECS + CLAIM_MEMORY_SECS;
+        let total_retention = CLAIM_RETENTION_SECS + EXPIRED_CLAIM_RETENTION_SECS;
         while let Some((claimed_at, key)) = self.by_age.front() {
-            if claimed_at.as_secs() + memory > now.as_secs() {
+            if claimed_at.as_secs() + total_retention > now.as_secs() {
                 break;
             }
             self.rows.remove(key);
--- a/crates/acaciabay/src/core/control_state.rs
+++ b/crates/acaciabay/src/core/control_state.rs
@@ -266,7 +266,7 @@
             .map(|(_, row)| row.incarnation);
         let granted = self.entries.join(host, domain, nonce);
         if let Some(lost) = before.filter(|incarnation| *incarnation != granted) {
-            self.claims.lose_holder(lost);
+            self.claims.mark_holder_unknown(lost);
         }
         CommandOutcome::Joined(granted)
     }
@@ -279,7 +279,7 @@
             .map(|(_, row)| row.incarnation);
         self.entries.remove(host);
         if let Some(lost) = lost {
-            self.claims.lose_holder(lost);
+            self.claims.mark_holder_unknown(lost);
         }
         CommandOutcome::Done
     }
@@ -287,7 +287,7 @@
     fn end_claim(&mut self, key: &ClaimKey, holder: ClaimHolder, end: &ClaimEnd) -> CommandOutcome {
         match end {
             ClaimEnd::Answered(answer) => self.claims.finish(key, holder, answer.clone()),
-            ClaimEnd::Lost => self.claims.lose(key, holder),
+            ClaimEnd::Lost => self.claims.mark_unknown(key, holder),
             ClaimEnd::Released => self.claims.release(key, holder),
         }
         CommandOutcome::Done
--- a/crates/acaciabay/tests/naive/claims.rs
+++ b/crates/acaciabay/tests/naive/claims.rs
@@ -63,7 +63,7 @@
                     end(&mut naive, key, holder, Some(ClaimOutcome::Answered(answer.clone())));
                 }
                 Step::Lose { key, holder } => {
-                    table.lose(&claim_key(key), holder_of(holder));
+                    table.mark_unknown(&claim_key(key), holder_of(holder));
                     end(&mut naive, key, holder, Some(ClaimOutcome::Unknown));
                 }
                 Step::Release { key, holder } => {
