--- a/crates/acacia-control/src/daemon.rs
+++ b/crates/acacia-control/src/daemon.rs
@@ -65,7 +65,7 @@
 impl SoftState {
     /// Returns what has been reported since `mark` of the endpoints that an entry hears of.
     pub(crate) fn changes_for(&mut self, entries: &EntryTable, host: &HostName, mark: u64) -> Vec<ReportRow> {
-        self.endpoints.follow(entries);
+        self.endpoints.set_entries(entries);
         self.endpoints
             .since(host, mark)
             .map(|(name, row)| (name.clone(), row.clone()))
--- a/crates/acacia-control/src/entry_session.rs
+++ b/crates/acacia-control/src/entry_session.rs
@@ -167,6 +167,6 @@
     soft.endpoints.forget_silent(now);
     renewal.shares = soft.grant_shares(now, &state, &lease.host, lease.demands);
     renewal.endpoints = soft.changes_for(&state.entries, &lease.host, lease.endpoint_mark);
-    renewal.endpoint_mark = soft.endpoints.mark();
+    renewal.endpoint_mark = soft.endpoints.revision();
     Ok(EntryAnswer::Renewed(renewal))
 }
--- a/crates/acaciabay/src/core/endpoint_changes.rs
+++ b/crates/acaciabay/src/core/endpoint_changes.rs
@@ -13,54 +13,54 @@
 use crate::core::subset_plan::SubsetPlan;
 
 /// How often silent endpoints are looked for.
-const FORGET_INTERVAL: Duration = Duration::from_secs(1);
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// An endpoint table that remembers when each row last changed, counted in reports.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointChanges {
     table: EndpointTable,
-    last: u64,
-    latest: HashMap<EndpointName, u64>,
+    revision: u64,
+    revisions: HashMap<EndpointName, u64>,
     subsets: SubsetPlan,
     /// For every entry, while each hears of every endpoint.
-    all: ChangeIndex,
+    shared: ChangeIndex,
     /// For each entry, once there are more of them.
     by_entry: HashMap<HostName, ChangeIndex>,
-    forgotten_at: BootTime,
+    last_expiry_at: BootTime,
 }
 
 /// Endpoints by when they were last heard of.
 #[derive(Clone, Debug, Default)]
 struct ChangeIndex {
-    by_mark: BTreeMap<u64, EndpointName>,
-    marks: HashMap<EndpointName, u64>,
+    by_revision: BTreeMap<u64, EndpointName>,
+    revisions: HashMap<EndpointName, u64>,
 }
 
 impl ChangeIndex {
-    fn file(&mut self, mark: u64, name: &EndpointName) {
-        if let Some(before) = self.marks.insert(name.clone(), mark) {
-            self.by_mark.remove(&before);
+    fn insert(&mut self, revision: u64, name: &EndpointName) {
+        if let Some(before) = self.revisions.insert(name.clone(), revision) {
+            self.by_revision.remove(&before);
         }
-        self.by_mark.insert(mark, name.clone());
+        self.by_revision.insert(revision, name.clone());
     }
 
-    fn forget(&mut self, name: &EndpointName) {
-        if let Some(mark) = self.marks.remove(name) {
-            self.by_mark.remove(&mark);
+    fn remove(&mut self, name: &EndpointName) {
+        if let Some(revision) = self.revisions.remove(name) {
+            self.by_revision.remove(&revision);
         }
     }
 }
 
 impl EndpointChanges {
     /// Takes over which entries serve; files everything anew when they have changed.
-    pub fn follow(&mut self, entries: &EntryTable) {
-        if !self.subsets.follow(entries) {
+    pub fn set_entries(&mut self, entries: &EntryTable) {
+        if !self.subsets.set_entries(entries) {
             return;
         }
-        self.all = ChangeIndex::default();
+        self.shared = ChangeIndex::default();
         self.by_entry.clear();
-        for (name, mark) in &self.latest {
-            file(&mut self.subsets, &mut self.all, &mut self.by_entry, *mark, name);
+        for (name, revision) in &self.revisions {
+            index_revision(&mut self.subsets, &mut self.shared, &mut self.by_entry, *revision, name);
         }
     }
 
@@ -69,51 +69,57 @@
         if !self.table.report(name, row) {
             return;
         }
-        self.last += 1;
-        self.latest.insert(name.clone(), self.last);
-        file(&mut self.subsets, &mut self.all, &mut self.by_entry, self.last, name);
+        self.revision += 1;
+        self.revisions.insert(name.clone(), self.revision);
+        index_revision(
+            &mut self.subsets,
+            &mut self.shared,
+            &mut self.by_entry,
+            self.revision,
+            name,
+        );
     }
 
     /// Drops endpoints that have been silent for long.
     pub fn forget_silent(&mut self, now: BootTime) {
-        if now.since(self.forgotten_at) < FORGET_INTERVAL {
+        if now.since(self.last_expiry_at) < EXPIRY_INTERVAL {
             return;
         }
-        self.forgotten_at = now;
+        self.last_expiry_at = now;
         self.table.forget_silent(now);
         let table = &self.table;
-        let gone: Vec<EndpointName> = self
-            .latest
+        let expired: Vec<EndpointName> = self
+            .revisions
             .keys()
             .filter(|name| table.get(name).is_none())
             .cloned()
             .collect();
-        for name in gone {
-            self.latest.remove(&name);
-            self.all.forget(&name);
+        for name in expired {
+            self.revisions.remove(&name);
+            self.shared.remove(&name);
             for index in self.by_entry.values_mut() {
-                index.forget(&name);
+                index.remove(&name);
             }
         }
     }
 
-    /// Returns the mark of the latest report.
-    pub const fn mark(&self) -> u64 {
-        self.last
+    /// Returns the revision of the latest report.
+    pub const fn revision(&self) -> u64 {
+        self.revision
     }
 
-    /// Returns the endpoints that an entry hears of and that have reported after `mark`; a mark of another leader's
+    /// Returns the endpoints that an entry hears of and that have reported after `revision`; one of another leader's
     /// count yields all.
-    pub fn since(&self, host: &HostName, mark: u64) -> impl Iterator<Item = (&EndpointName, &EndpointRow)> {
-        let mark = if mark > self.last { 0 } else { mark };
-        let index = if self.subsets.is_trivial() {
-            Some(&self.all)
+    pub fn since(&self, host: &HostName, revision: u64) -> impl Iterator<Item = (&EndpointName, &EndpointRow)> {
+        let revision = if revision > self.revision { 0 } else { revision };
+        let index = if self.subsets.is_full_mesh() {
+            Some(&self.shared)
         } else {
             self.by_entry.get(host)
         };
         let names = index
             .into_iter()
-            .flat_map(move |index| index.by_mark.range(mark + 1..))
+            .flat_map(move |index| index.by_revision.range(revision + 1..))
             .map(|(_, name)| name);
         names.filter_map(|name| self.table.get(name).map(|row| (name, row)))
     }
@@ -124,18 +130,18 @@
     }
 }
 
-fn file(
+fn index_revision(
     subsets: &mut SubsetPlan,
-    all: &mut ChangeIndex,
+    shared: &mut ChangeIndex,
     by_entry: &mut HashMap<HostName, ChangeIndex>,
-    mark: u64,
+    revision: u64,
     name: &EndpointName,
 ) {
-    if subsets.is_trivial() {
-        all.file(mark, name);
+    if subsets.is_full_mesh() {
+        shared.insert(revision, name);
         return;
     }
-    for host in subsets.hearers(name) {
-        by_entry.entry(host.clone()).or_default().file(mark, name);
+    for host in subsets.subscribers(name) {
+        by_entry.entry(host.clone()).or_default().insert(revision, name);
     }
 }
