--- a/crates/acacia-control/src/operator_tables.rs
+++ b/crates/acacia-control/src/operator_tables.rs
@@ -102,7 +102,7 @@
         TableName::Routes => {
             let rows = routes_from_json(document).map_err(|findings| refuse_findings(&findings))?;
             let warnings = check_routes(&state.config, &rows);
-            let edit = state.config.routes.edit_towards(expected, digest, rows);
+            let edit = state.config.routes.diff(expected, digest, rows);
             Ok(planned(
                 &state.config.routes,
                 edit,
@@ -113,7 +113,7 @@
         TableName::Pools => {
             let rows = pools_from_json(document).map_err(|findings| refuse_findings(&findings))?;
             let warnings = check_pools(&state.config, &rows);
-            let edit = state.config.pools.edit_towards(expected, digest, rows);
+            let edit = state.config.pools.diff(expected, digest, rows);
             Ok(planned(&state.config.pools, edit, warnings, ControlCommand::EditPools))
         }
     }
--- a/crates/acacia-entry/src/lease_keeper.rs
+++ b/crates/acacia-entry/src/lease_keeper.rs
@@ -120,7 +120,7 @@
     let mut next = EntryConfig::clone(&entry.config());
     let changed = match renewal.whole {
         Some(whole) => next.replace(whole),
-        None => next.follow(renewal.from, &renewal.changes),
+        None => next.apply_changes(renewal.from, &renewal.changes),
     };
     if changed {
         let version = next.version;
--- a/crates/acaciabay/src/core/entry_config.rs
+++ b/crates/acaciabay/src/core/entry_config.rs
@@ -11,7 +11,7 @@
 ///
 /// At the target's 8,700 changes a day it covers more than five hours; an entry that was away longer, or that starts
 /// anew, gets the whole configuration.
-pub const KEPT_CHANGES: usize = 2_048;
+pub const MAX_HISTORY_CHANGES: usize = 2_048;
 
 /// Counts the accepted changes of routes, pools and keys together.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -62,12 +62,12 @@
     ///
     /// Returns false, and changes nothing, when they do not start at the present version. Applying them all the same
     /// would leave out or repeat changes, and an older answer that arrives late would bring back a withdrawn key.
-    pub fn follow(&mut self, from: ConfigVersion, changes: &[ConfigChange]) -> bool {
+    pub fn apply_changes(&mut self, from: ConfigVersion, changes: &[ConfigChange]) -> bool {
         if from != self.version {
             return false;
         }
         for change in changes {
-            self.follow_one(change);
+            self.apply_change(change);
             self.version = ConfigVersion(self.version.0 + 1);
         }
         true
@@ -82,18 +82,18 @@
         true
     }
 
-    fn follow_one(&mut self, change: &ConfigChange) {
+    fn apply_change(&mut self, change: &ConfigChange) {
         match change {
             ConfigChange::Routes {
                 number,
                 upserts,
                 removals,
-            } => self.routes.follow(*number, upserts, removals),
+            } => self.routes.apply_accepted(*number, upserts, removals),
             ConfigChange::Pools {
                 number,
                 upserts,
                 removals,
-            } => self.pools.follow(*number, upserts, removals),
+            } => self.pools.apply_accepted(*number, upserts, removals),
             ConfigChange::KeyIssued(row) => {
                 self.keys.issue(row);
             }
@@ -125,11 +125,11 @@
         self.last
     }
 
-    /// Adds a change and drops the oldest beyond [`KEPT_CHANGES`].
+    /// Adds a change and drops the oldest beyond [`MAX_HISTORY_CHANGES`].
     pub fn push(&mut self, change: ConfigChange) {
         self.last = ConfigVersion(self.last.0 + 1);
         self.changes.push_back(change);
-        if self.changes.len() > KEPT_CHANGES {
+        if self.changes.len() > MAX_HISTORY_CHANGES {
             self.changes.pop_front();
         }
     }
--- a/crates/acaciabay/src/core/table.rs
+++ b/crates/acaciabay/src/core/table.rs
@@ -13,7 +13,7 @@
 /// How many accepted writes a table remembers in order to recognise a resend.
 ///
 /// An operator's resend follows within seconds; at the target's 8,700 changes a day this covers more than two hours.
-const REMEMBERED_WRITES: usize = 1_024;
+const MAX_REMEMBERED_WRITES: usize = 1_024;
 
 /// The number of a table's state; each accepted write raises it by one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -191,7 +191,7 @@
     }
 
     /// Works out the edit that turns the present rows into `wanted`.
-    pub fn edit_towards(&self, expected: TableNumber, digest: ContentDigest, wanted: Vec<R>) -> TableEdit<R> {
+    pub fn diff(&self, expected: TableNumber, digest: ContentDigest, wanted: Vec<R>) -> TableEdit<R> {
         let wanted: BTreeMap<R::Key, R> = wanted.into_iter().map(|row| (row.key(), row)).collect();
         let removals = self
             .rows
@@ -239,14 +239,14 @@
         self.number = self.number.next();
         self.merge(&edit.upserts, &edit.removals);
         self.accepted.push_back((self.number, edit.digest));
-        if self.accepted.len() > REMEMBERED_WRITES {
+        if self.accepted.len() > MAX_REMEMBERED_WRITES {
             self.accepted.pop_front();
         }
         Ok(self.number)
     }
 
     /// Takes over a difference that another copy of the table has accepted under `number`.
-    pub fn follow(&mut self, number: TableNumber, upserts: &[R], removals: &[R::Key]) {
+    pub fn apply_accepted(&mut self, number: TableNumber, upserts: &[R], removals: &[R::Key]) {
         self.number = number;
         self.merge(upserts, removals);
     }
--- a/crates/acaciabay/tests/naive/tables.rs
+++ b/crates/acaciabay/tests/naive/tables.rs
@@ -18,7 +18,7 @@
             let expected = current.saturating_sub(back);
             let wanted: Vec<PoolRow> = names.iter().map(|name| pool_row(*name, 0)).collect();
             let digest = ContentDigest::of(format!("{names:?}"));
-            let edit = table.edit_towards(TableNumber(expected), digest, wanted);
+            let edit = table.diff(TableNumber(expected), digest, wanted);
 
             let accepted = table
                 .apply(&edit)
@@ -60,9 +60,9 @@
                 .map(|(name, endpoints)| pool_row(*name, *endpoints))
                 .collect();
             let edit: TableEdit<PoolRow> =
-                table.edit_towards(TableNumber(number), ContentDigest::of(number.to_be_bytes()), wanted);
+                table.diff(TableNumber(number), ContentDigest::of(number.to_be_bytes()), wanted);
             let number = table.apply(&edit).expect("the edit names the present number");
-            follower.follow(number, &edit.upserts, &edit.removals);
+            follower.apply_accepted(number, &edit.upserts, &edit.removals);
             prop_assert!(table.rows().eq(follower.rows()));
         }
         Ok(())
