--- a/crates/acaciabay/src/core/fair_queue.rs
+++ b/crates/acaciabay/src/core/fair_queue.rs
@@ -30,20 +30,20 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct CustomerLine {
+struct CustomerQueue {
     waiting: VecDeque<WaitingRequest>,
     /// The finish tag of the customer's last request, waiting or gone.
-    finish: f64,
+    last_finish: f64,
     pieces: u64,
 }
 
-/// Requests that wait for the same pool, in one line for each customer.
+/// Requests that wait for the same pool, in one queue for each customer.
 #[derive(Clone, Debug, Default)]
 pub struct FairQueue {
-    lines: BTreeMap<CustomerName, CustomerLine>,
+    queues: BTreeMap<CustomerName, CustomerQueue>,
     weights: BTreeMap<CustomerName, f64>,
     virtual_time: f64,
-    last: u64,
+    last_ticket: u64,
 }
 
 impl FairQueue {
@@ -55,80 +55,80 @@
     /// Returns a customer's weight. One that is not named has just come, and counts as the others do on the average.
     pub fn weight(&self, customer: &CustomerName) -> f64 {
         let mean = || self.weights.values().sum::<f64>() / self.weights.len() as f64;
-        let known = self.weights.get(customer).copied();
-        let weight = known.unwrap_or_else(|| if self.weights.is_empty() { 1.0 } else { mean() });
+        let configured = self.weights.get(customer).copied();
+        let weight = configured.unwrap_or_else(|| if self.weights.is_empty() { 1.0 } else { mean() });
         weight.max(f64::MIN_POSITIVE)
     }
 
-    /// Adds a request to its customer's line.
+    /// Adds a request to its customer's queue.
     pub fn push(&mut self, customer: &CustomerName, cost: RequestCost) -> TicketNumber {
-        self.last += 1;
-        let ticket = TicketNumber(self.last);
+        self.last_ticket += 1;
+        let ticket = TicketNumber(self.last_ticket);
         let weight = self.weight(customer);
-        let line = self.lines.entry(customer.clone()).or_default();
-        let start = line.finish.max(self.virtual_time);
-        line.finish = start + cost.tokens as f64 / weight;
-        line.pieces += u64::from(cost.pieces);
-        line.waiting.push_back(WaitingRequest { ticket, cost, start });
+        let queue = self.queues.entry(customer.clone()).or_default();
+        let start = queue.last_finish.max(self.virtual_time);
+        queue.last_finish = start + cost.tokens as f64 / weight;
+        queue.pieces += u64::from(cost.pieces);
+        queue.waiting.push_back(WaitingRequest { ticket, cost, start });
         ticket
     }
 
     /// Returns the cost of the request that is next.
     pub fn next_cost(&self) -> Option<RequestCost> {
-        self.next_line().map(|(_, request)| request.cost)
+        self.next_request().map(|(_, request)| request.cost)
     }
 
     /// Takes the request that is next.
     pub fn pop(&mut self) -> Option<TicketNumber> {
         let (customer, request) = self
-            .next_line()
+            .next_request()
             .map(|(customer, request)| (customer.clone(), *request))?;
         self.virtual_time = self.virtual_time.max(request.start);
-        if let Some(line) = self.lines.get_mut(&customer) {
-            line.waiting.pop_front();
-            line.pieces -= u64::from(request.cost.pieces);
+        if let Some(queue) = self.queues.get_mut(&customer) {
+            queue.waiting.pop_front();
+            queue.pieces -= u64::from(request.cost.pieces);
         }
-        self.drop_idle();
+        self.remove_idle();
         Some(request.ticket)
     }
 
     /// Removes a request that has stopped waiting.
     pub fn cancel(&mut self, customer: &CustomerName, ticket: TicketNumber) -> bool {
-        let Some(line) = self.lines.get_mut(customer) else {
+        let Some(queue) = self.queues.get_mut(customer) else {
             return false;
         };
-        let Some(place) = line.waiting.iter().position(|request| request.ticket == ticket) else {
+        let Some(index) = queue.waiting.iter().position(|request| request.ticket == ticket) else {
             return false;
         };
-        if let Some(request) = line.waiting.remove(place) {
-            line.pieces -= u64::from(request.cost.pieces);
+        if let Some(request) = queue.waiting.remove(index) {
+            queue.pieces -= u64::from(request.cost.pieces);
         }
         true
     }
 
     /// Returns how many requests of a customer wait.
     pub fn waiting(&self, customer: &CustomerName) -> usize {
-        self.lines.get(customer).map_or(0, |line| line.waiting.len())
+        self.queues.get(customer).map_or(0, |queue| queue.waiting.len())
     }
 
     /// Returns how many pieces each customer waits for.
     pub fn backlog(&self) -> impl Iterator<Item = (&CustomerName, u64)> {
-        self.lines
+        self.queues
             .iter()
-            .filter(|(_, line)| line.pieces > 0)
-            .map(|(customer, line)| (customer, line.pieces))
+            .filter(|(_, queue)| queue.pieces > 0)
+            .map(|(customer, queue)| (customer, queue.pieces))
     }
 
     /// Tells whether nothing waits.
     pub fn is_empty(&self) -> bool {
-        self.lines.values().all(|line| line.waiting.is_empty())
+        self.queues.values().all(|queue| queue.waiting.is_empty())
     }
 
-    fn next_line(&self) -> Option<(&CustomerName, &WaitingRequest)> {
+    fn next_request(&self) -> Option<(&CustomerName, &WaitingRequest)> {
         let heads = self
-            .lines
+            .queues
             .iter()
-            .filter_map(|(customer, line)| line.waiting.front().map(|head| (customer, head)));
+            .filter_map(|(customer, queue)| queue.waiting.front().map(|head| (customer, head)));
         heads.min_by(|first, second| {
             first
                 .1
@@ -139,9 +139,9 @@
     }
 
     /// Forgets customers whose last request lies in the past of the virtual time: a later one starts afresh anyway.
-    fn drop_idle(&mut self) {
+    fn remove_idle(&mut self) {
         let now = self.virtual_time;
-        self.lines
-            .retain(|_, line| !line.waiting.is_empty() || line.finish > now);
+        self.queues
+            .retain(|_, queue| !queue.waiting.is_empty() || queue.last_finish > now);
     }
 }
