--- a/crates/acacia-control/src/share_plan.rs
+++ b/crates/acacia-control/src/share_plan.rs
@@ -8,10 +8,10 @@
 use acaciabay::core::endpoint::EndpointTable;
 use acaciabay::core::entry_config::EntryConfig;
 use acaciabay::core::name::{HostName, PoolName};
-use acaciabay::core::pace::PoolThrottle;
 use acaciabay::core::pool_admission::PoolShare;
 use acaciabay::core::serving_lease::{LEASE_DRIFT, SERVING_LEASE};
 use acaciabay::core::share_table::{PoolDemand, ShareTable};
+use acaciabay::core::token_latency::PoolThrottle;
 use acaciabay::ops::divide_pool::{EntryPart, divide_pool};
 
 use crate::daemon::SoftState;
@@ -49,7 +49,7 @@
     ) -> Vec<(PoolName, PoolShare)> {
         for (pool, demand) in &demands {
             self.shares.table.report(pool, host, demand.clone());
-            self.shares.throttle(now, pool).observe(&demand.pace);
+            self.shares.throttle(now, pool).observe(&demand.latency);
         }
         if self
             .shares
--- a/crates/acacia-entry/src/admission.rs
+++ b/crates/acacia-entry/src/admission.rs
@@ -8,9 +8,9 @@
 use acaciabay::core::clock::BootTime;
 use acaciabay::core::fair_queue::{RequestCost, TicketNumber};
 use acaciabay::core::name::{CustomerName, PoolName};
-use acaciabay::core::pace::PaceMeter;
 use acaciabay::core::pool_admission::{AdmissionRefusal, PoolAdmission, PoolShare};
 use acaciabay::core::share_table::PoolDemand;
+use acaciabay::core::token_latency::TokenLatencyEstimator;
 use parking_lot::Mutex;
 use serde_json::{Value, json};
 use tokio::sync::oneshot;
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 struct PoolState {
     admission: PoolAdmission,
-    pace: PaceMeter,
+    pace: TokenLatencyEstimator,
     waiting: HashMap<TicketNumber, WaitingTicket>,
 }
 
@@ -140,17 +140,19 @@
 
     /// Estimates how long an answer of so many tokens takes.
     pub(crate) fn expected_service(&self, pool: &PoolName, output_tokens: u64) -> Duration {
-        self.with_pool(pool, |state| state.pace.expected_service(boot_now(), output_tokens))
+        self.with_pool(pool, |state| {
+            state.pace.expected_service_time(boot_now(), output_tokens)
+        })
     }
 
     /// Notes how long an engine took to its first token.
     pub(crate) fn note_first(&self, pool: &PoolName, first: Duration) {
-        self.with_pool(pool, |state| state.pace.note_first(boot_now(), first));
+        self.with_pool(pool, |state| state.pace.record_first_token(boot_now(), first));
     }
 
     /// Notes how long an engine took from one token to the next.
     pub(crate) fn note_gap(&self, pool: &PoolName, gap: Duration) {
-        self.with_pool(pool, |state| state.pace.note_gap(boot_now(), gap));
+        self.with_pool(pool, |state| state.pace.record_token_gap(boot_now(), gap));
     }
 
     /// Returns what this entry asks for in each of these pools.
@@ -161,7 +163,7 @@
                 share: state.admission.share().pieces,
                 number: state.admission.share().number,
                 customers: state.admission.demand(),
-                pace: state.pace.take_report(),
+                latency: state.pace.take_report(),
             });
             (name.clone(), demand)
         };
@@ -198,7 +200,7 @@
         let mut pools = self.pools.lock();
         let state = pools.entry(pool.clone()).or_insert_with(|| PoolState {
             admission: PoolAdmission::new(boot_now()),
-            pace: PaceMeter::default(),
+            pace: TokenLatencyEstimator::default(),
             waiting: HashMap::new(),
         });
         act(state)
--- a/crates/acacia-wire/src/entry_message.rs
+++ b/crates/acacia-wire/src/entry_message.rs
@@ -9,9 +9,9 @@
 use acaciabay::core::entry_config::{ConfigChange, ConfigVersion, EntryConfig};
 use acaciabay::core::member::{EntryIncarnation, JoinNonce};
 use acaciabay::core::name::{DomainName, EndpointName, HostName, PoolName};
-use acaciabay::core::pace::PaceReport;
 use acaciabay::core::pool_admission::PoolShare;
 use acaciabay::core::share_table::PoolDemand;
+use acaciabay::core::token_latency::TokenLatencyReport;
 use acaciabay::core::usage::UsageReport;
 use acaciabay::util::digest::ContentDigest;
 use acaciabay::util::number::whole_millis;
@@ -363,10 +363,10 @@
         share: demand.share,
         number: demand.number,
         customers: customers.collect(),
-        gap_sum_us: micros(demand.pace.gap_sum),
-        gaps: demand.pace.gaps,
-        first_sum_us: micros(demand.pace.first_sum),
-        firsts: demand.pace.firsts,
+        gap_sum_us: micros(demand.latency.gap_sum),
+        gaps: demand.latency.gaps,
+        first_sum_us: micros(demand.latency.first_sum),
+        firsts: demand.latency.firsts,
     }
 }
 
@@ -384,7 +384,7 @@
         share: message.share,
         number: message.number,
         customers: customers.collect(),
-        pace: PaceReport {
+        latency: TokenLatencyReport {
             gap_sum: Duration::from_micros(message.gap_sum_us),
             gaps: message.gaps,
             first_sum: Duration::from_micros(message.first_sum_us),
--- a/crates/acaciabay/src/core/share_table.rs
+++ b/crates/acaciabay/src/core/share_table.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use crate::core::name::{CustomerName, HostName, PoolName};
-use crate::core::pace::PaceReport;
+use crate::core::token_latency::TokenLatencyReport;
 
 /// What one entry asks for in one pool.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -20,7 +20,7 @@
     /// Pieces that each customer uses or waits for.
     pub customers: BTreeMap<CustomerName, u64>,
     /// How fast the pool's engines have answered since the entry last asked.
-    pub pace: PaceReport,
+    pub latency: TokenLatencyReport,
 }
 
 #[derive(Clone, Debug, Default)]
--- a/crates/acaciabay/src/core/pace.rs
+++ b/crates/acaciabay/src/core/token_latency.rs
@@ -9,27 +9,27 @@
 use crate::core::clock::BootTime;
 
 /// The mean time between tokens that a pool is held to. The target is 30 ms for 95 in 100.
-const TOKEN_GAP: Duration = Duration::from_millis(22);
+const TARGET_TOKEN_GAP: Duration = Duration::from_millis(22);
 /// The mean time from sending a request to its first token that a pool is held to. With the wait for a turn it makes
 /// the 1.2 s of the target.
-const FIRST_TOKEN: Duration = Duration::from_millis(500);
+const TARGET_FIRST_TOKEN: Duration = Duration::from_millis(500);
 /// How much of a new figure goes into an entry's own estimate.
-const NEW_PART: f64 = 0.05;
+const SMOOTHING_FACTOR: f64 = 0.05;
 /// How long an estimate takes to fade to its half.
 const ESTIMATE_HALF_LIFE: Duration = Duration::from_millis(500);
 /// How often the leader looks at the pace. What it changed before has to show first.
 const ADJUST_INTERVAL: Duration = Duration::from_millis(500);
 /// The smallest part of a pool that is granted, however slow it is.
-const SMALLEST_FACTOR: f64 = 0.05;
+const MIN_FACTOR: f64 = 0.05;
 /// The least and the most by which the granted part changes at a time.
-const STEP: std::ops::RangeInclusive<f64> = 0.8..=1.2;
+const STEP_RANGE: std::ops::RangeInclusive<f64> = 0.8..=1.2;
 
 /// How far above what is in use the granted part may stay when the engines are slow.
-const USE_MARGIN: f64 = 1.25;
+const IN_USE_HEADROOM: f64 = 1.25;
 
 /// Figures of one entry since it last told them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct PaceReport {
+pub struct TokenLatencyReport {
     /// The sum of times between tokens.
     pub gap_sum: Duration,
     /// How many there were.
@@ -40,7 +40,7 @@
     pub firsts: u64,
 }
 
-impl PaceReport {
+impl TokenLatencyReport {
     /// Adds another entry's figures.
     pub fn add(&mut self, other: &Self) {
         self.gap_sum += other.gap_sum;
@@ -52,32 +52,32 @@
 
 /// Measures the pace of one pool in one entry.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct PaceMeter {
-    report: PaceReport,
-    gap: f64,
-    first: f64,
-    noted_at: BootTime,
+pub struct TokenLatencyEstimator {
+    report: TokenLatencyReport,
+    mean_gap: f64,
+    mean_first: f64,
+    updated_at: BootTime,
 }
 
-impl PaceMeter {
+impl TokenLatencyEstimator {
     /// Notes the time between two tokens.
-    pub fn note_gap(&mut self, now: BootTime, gap: Duration) {
-        self.noted_at = now;
+    pub fn record_token_gap(&mut self, now: BootTime, gap: Duration) {
+        self.updated_at = now;
         self.report.gap_sum += gap;
         self.report.gaps += 1;
-        self.gap += (gap.as_secs_f64() - self.gap) * NEW_PART;
+        self.mean_gap += (gap.as_secs_f64() - self.mean_gap) * SMOOTHING_FACTOR;
     }
 
     /// Notes the time from sending a request to its first token.
-    pub fn note_first(&mut self, now: BootTime, first: Duration) {
-        self.noted_at = now;
+    pub fn record_first_token(&mut self, now: BootTime, first: Duration) {
+        self.updated_at = now;
         self.report.first_sum += first;
         self.report.firsts += 1;
-        self.first += (first.as_secs_f64() - self.first) * NEW_PART;
+        self.mean_first += (first.as_secs_f64() - self.mean_first) * SMOOTHING_FACTOR;
     }
 
     /// Returns the figures since the last call.
-    pub fn take_report(&mut self) -> PaceReport {
+    pub fn take_report(&mut self) -> TokenLatencyReport {
         std::mem::take(&mut self.report)
     }
 
@@ -85,9 +85,9 @@
     ///
     /// The estimate fades while nothing new is learned. It decides who is refused, and a high one that stayed would
     /// refuse every request whose answer could lower it.
-    pub fn expected_service(&self, now: BootTime, output_tokens: u64) -> Duration {
-        let age = now.since(self.noted_at).as_secs_f64() / ESTIMATE_HALF_LIFE.as_secs_f64();
-        let seconds = (self.first + self.gap * output_tokens as f64) * 0.5_f64.powf(age);
+    pub fn expected_service_time(&self, now: BootTime, output_tokens: u64) -> Duration {
+        let age = now.since(self.updated_at).as_secs_f64() / ESTIMATE_HALF_LIFE.as_secs_f64();
+        let seconds = (self.mean_first + self.mean_gap * output_tokens as f64) * 0.5_f64.powf(age);
         Duration::from_secs_f64(seconds.clamp(0.0, 3_600.0))
     }
 }
@@ -96,7 +96,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PoolThrottle {
     factor: f64,
-    seen: PaceReport,
+    pending: TokenLatencyReport,
     adjusted_at: BootTime,
 }
 
@@ -105,14 +105,14 @@
     pub fn new(now: BootTime) -> Self {
         Self {
             factor: 1.0,
-            seen: PaceReport::default(),
+            pending: TokenLatencyReport::default(),
             adjusted_at: now,
         }
     }
 
     /// Takes an entry's figures.
-    pub fn observe(&mut self, report: &PaceReport) {
-        self.seen.add(report);
+    pub fn observe(&mut self, report: &TokenLatencyReport) {
+        self.pending.add(report);
     }
 
     /// Adjusts the granted part, given what of the pool is in use.
@@ -124,18 +124,21 @@
             return;
         }
         self.adjusted_at = now;
-        let seen = std::mem::take(&mut self.seen);
-        let slowness =
-            slowness(seen.gap_sum, seen.gaps, TOKEN_GAP).max(slowness(seen.first_sum, seen.firsts, FIRST_TOKEN));
-        let step = (1.0 / slowness.max(f64::MIN_POSITIVE)).clamp(*STEP.start(), *STEP.end());
+        let pending = std::mem::take(&mut self.pending);
+        let worst_ratio = latency_ratio(pending.gap_sum, pending.gaps, TARGET_TOKEN_GAP).max(latency_ratio(
+            pending.first_sum,
+            pending.firsts,
+            TARGET_FIRST_TOKEN,
+        ));
+        let step = (1.0 / worst_ratio.max(f64::MIN_POSITIVE)).clamp(*STEP_RANGE.start(), *STEP_RANGE.end());
         let in_use = used as f64 / f64::from(capacity.max(1));
         // When the engines are slow, what is in use shows what is too much; the granted part may be larger by far.
         let base = if step < 1.0 {
-            self.factor.min(in_use * USE_MARGIN)
+            self.factor.min(in_use * IN_USE_HEADROOM)
         } else {
             self.factor
         };
-        self.factor = (base * step).clamp(SMALLEST_FACTOR, 1.0);
+        self.factor = (base * step).clamp(MIN_FACTOR, 1.0);
     }
 
     /// Returns how many pieces of a pool are granted.
@@ -151,7 +154,7 @@
 }
 
 /// Returns the mean as a multiple of the target, or 0 without figures.
-fn slowness(sum: Duration, count: u64, target: Duration) -> f64 {
+fn latency_ratio(sum: Duration, count: u64, target: Duration) -> f64 {
     if count == 0 {
         return 0.0;
     }
