--- a/crates/acacia-standin/src/engine.rs
+++ b/crates/acacia-standin/src/engine.rs
@@ -24,7 +24,7 @@
 use crate::standin::{SlotGuard, Standin};
 
 /// Tokens in one piece of memory.
-const PIECE_TOKENS: u64 = 1_000;
+const TOKENS_PER_PIECE: u64 = 1_000;
 /// How much of a prompt's start is cached, in bytes, and about how many bytes make a token.
 const PREFIX_BYTES: usize = 1_024;
 const BYTES_PER_TOKEN: usize = 6;
@@ -208,7 +208,7 @@
 async fn generate(standin: &Standin, generation: &Generation, sender: ChunkSender) -> Result<(), GenerationStopped> {
     let prompt_tokens = count_tokens(&generation.prompt);
     let pieces = (prompt_tokens + generation.end)
-        .div_ceil(PIECE_TOKENS)
+        .div_ceil(TOKENS_PER_PIECE)
         .clamp(1, u64::from(standin.settings.pieces));
     let pieces = u32::try_from(pieces).unwrap_or(u32::MAX);
     let memory = Arc::clone(&standin.memory);
--- a/crates/acaciabay/src/core/pool_admission.rs
+++ b/crates/acaciabay/src/core/pool_admission.rs
@@ -8,24 +8,24 @@
 use crate::core::name::CustomerName;
 
 /// How tokens are priced against each other. A generated token occupies an engine about as long as four prompt tokens.
-pub const OUTPUT_PRICE: u64 = 4;
+pub const OUTPUT_TOKEN_PRICE: u64 = 4;
 /// Tokens in one piece of an engine's memory.
-pub const PIECE_TOKENS: u64 = 1_000;
+pub const TOKENS_PER_PIECE: u64 = 1_000;
 /// Most requests of one customer that wait in one entry.
-const MOST_WAITING: usize = 512;
+const MAX_WAITING_PER_CUSTOMER: usize = 512;
 /// The share that an entry takes until the leader has granted one.
-const FIRST_SHARE: u32 = 4;
+const INITIAL_SHARE: u32 = 4;
 /// Over how long the rate of service is averaged.
 const RATE_WINDOW: Duration = Duration::from_secs(2);
 
 impl RequestCost {
     /// Works out what a request asks for.
     pub fn of(prompt_tokens: u64, output_tokens: u64) -> Self {
-        let pieces = (prompt_tokens + output_tokens).div_ceil(PIECE_TOKENS).max(1);
+        let pieces = (prompt_tokens + output_tokens).div_ceil(TOKENS_PER_PIECE).max(1);
         let pieces = u32::try_from(pieces).unwrap_or(u32::MAX);
         Self {
             pieces,
-            tokens: prompt_tokens + OUTPUT_PRICE * output_tokens,
+            tokens: prompt_tokens + OUTPUT_TOKEN_PRICE * output_tokens,
         }
     }
 }
@@ -67,7 +67,7 @@
         Self {
             queue: FairQueue::default(),
             share: PoolShare {
-                pieces: FIRST_SHARE,
+                pieces: INITIAL_SHARE,
                 ..PoolShare::default()
             },
             used: 0,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Lets a request wait, or refuses it when it would wait longer than `patience`.
+    /// Lets a request wait, or refuses it when it would wait longer than `max_wait`.
     ///
     /// # Errors
     ///
@@ -89,11 +89,11 @@
         now: BootTime,
         customer: &CustomerName,
         cost: RequestCost,
-        patience: Duration,
+        max_wait: Duration,
     ) -> Result<TicketNumber, AdmissionRefusal> {
-        self.turn_window(now);
+        self.roll_rate_window(now);
         let wait = self.expected_wait(customer);
-        if self.queue.waiting(customer) >= MOST_WAITING || wait > patience {
+        if self.queue.waiting(customer) >= MAX_WAITING_PER_CUSTOMER || wait > max_wait {
             return Err(AdmissionRefusal {
                 retry_after: wait.max(Duration::from_secs(1)),
             });
@@ -110,7 +110,7 @@
         if !fits && self.used > 0 {
             return None;
         }
-        self.turn_window(now);
+        self.roll_rate_window(now);
         self.window_pieces += u64::from(cost.pieces);
         self.queue.pop()
     }
@@ -166,20 +166,20 @@
     /// Estimates how long a new request of the customer would wait: its own line, served at its part of the rate at
     /// which this entry has admitted lately.
     fn expected_wait(&self, customer: &CustomerName) -> Duration {
-        let lines: BTreeMap<&CustomerName, u64> = self.queue.backlog().collect();
-        let Some(own) = lines.get(customer).copied() else {
+        let backlog: BTreeMap<&CustomerName, u64> = self.queue.backlog().collect();
+        let Some(own) = backlog.get(customer).copied() else {
             return Duration::ZERO;
         };
         if self.rate <= 0.0 {
             return Duration::ZERO;
         }
-        let total: f64 = lines.keys().map(|name| self.queue.weight(name)).sum();
-        let part = self.queue.weight(customer) / total.max(f64::MIN_POSITIVE);
-        let seconds = own as f64 / (self.rate * part).max(f64::MIN_POSITIVE);
+        let total: f64 = backlog.keys().map(|name| self.queue.weight(name)).sum();
+        let fraction = self.queue.weight(customer) / total.max(f64::MIN_POSITIVE);
+        let seconds = own as f64 / (self.rate * fraction).max(f64::MIN_POSITIVE);
         Duration::from_secs_f64(seconds.min(3_600.0))
     }
 
-    fn turn_window(&mut self, now: BootTime) {
+    fn roll_rate_window(&mut self, now: BootTime) {
         let elapsed = now.since(self.window_start);
         if elapsed < RATE_WINDOW {
             return;
