--- a/crates/acacia-entry/src/completion.rs
+++ b/crates/acacia-entry/src/completion.rs
@@ -247,7 +247,7 @@
     }
 
     fn end_attempt(&self, attempt: OpenAttempt) {
-        self.entry.retries.lock().earn();
+        self.entry.retries.lock().deposit();
         let entry = Arc::clone(&self.entry);
         tokio::spawn(async move {
             let OpenAttempt {
@@ -318,7 +318,7 @@
     fn count_attempt(&mut self) -> Result<(), CallerRefusal> {
         self.attempts += 1;
         let is_retry = self.attempts > 1;
-        if self.attempts > MOST_ATTEMPTS || (is_retry && !self.entry.retries.lock().spend()) {
+        if self.attempts > MOST_ATTEMPTS || (is_retry && !self.entry.retries.lock().try_withdraw()) {
             return Err(CallerRefusal::endpoints_failed(self.verdict()));
         }
         Ok(())
--- a/crates/acacia-entry/src/service_call.rs
+++ b/crates/acacia-entry/src/service_call.rs
@@ -118,7 +118,7 @@
     let mut tried = Vec::new();
     let mut maybe_run = false;
     for number in 1..=MOST_ATTEMPTS {
-        if number > 1 && !entry.retries.lock().spend() {
+        if number > 1 && !entry.retries.lock().try_withdraw() {
             break;
         }
         let Some((endpoint, row)) = place(entry, call, &tried) else {
@@ -126,7 +126,7 @@
         };
         match attempt(entry, call, &endpoint, &row, ConnectionChoice::Pooled).await {
             Ok(answer) => {
-                entry.retries.lock().earn();
+                entry.retries.lock().deposit();
                 bill(entry, call).await;
                 return Ok(answer);
             }
--- a/crates/acaciabay/src/core/retry_budget.rs
+++ b/crates/acaciabay/src/core/retry_budget.rs
@@ -5,34 +5,34 @@
 //! small.
 
 /// How much of a retry each success earns.
-const EARNED_BY_SUCCESS: f64 = 0.1;
-/// The most that can be saved up, and what an entry starts with.
-const LARGEST_BUDGET: f64 = 20.0;
+const DEPOSIT_PER_SUCCESS: f64 = 0.1;
+/// The most that can be balance up, and what an entry starts with.
+const MAX_BALANCE: f64 = 20.0;
 
 /// Retries that one entry may still make.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
-    saved: f64,
+    balance: f64,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { saved: LARGEST_BUDGET }
+        Self { balance: MAX_BALANCE }
     }
 }
 
 impl RetryBudget {
     /// Notes a request that succeeded.
-    pub const fn earn(&mut self) {
-        self.saved = (self.saved + EARNED_BY_SUCCESS).min(LARGEST_BUDGET);
+    pub const fn deposit(&mut self) {
+        self.balance = (self.balance + DEPOSIT_PER_SUCCESS).min(MAX_BALANCE);
     }
 
     /// Takes one retry from the budget and tells whether there was one.
-    pub fn spend(&mut self) -> bool {
-        if self.saved < 1.0 {
+    pub fn try_withdraw(&mut self) -> bool {
+        if self.balance < 1.0 {
             return false;
         }
-        self.saved -= 1.0;
+        self.balance -= 1.0;
         true
     }
 }
