--- a/crates/acacia-control/src/operator_api.rs
+++ b/crates/acacia-control/src/operator_api.rs
@@ -279,7 +279,11 @@
         let version = ConfigVersion(request.number("version")?);
         self.control.group.confirm().await?;
         let state = self.control.group.read();
-        let behind = self.control.soft().presence.behind(version, boot_now(), &state.entries);
+        let behind = self
+            .control
+            .soft()
+            .presence
+            .lagging_hosts(version, boot_now(), &state.entries);
         let hosts: Vec<_> = behind.iter().map(HostName::as_str).collect();
         Ok(json!({"in_force": hosts.is_empty() && state.version() >= version, "behind": hosts}))
     }
--- a/crates/acaciabay/src/core/delivery.rs
+++ b/crates/acaciabay/src/core/delivery.rs
@@ -18,7 +18,7 @@
     .saturating_add(CLOCK_DRIFT);
 
 /// How long to wait before an attempt is repeated.
-const REPEAT_AFTER: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// One delivery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -52,19 +52,19 @@
 
     /// Tells whether an attempt may begin now.
     pub fn may_send(&self, number: u64, now: BootTime) -> bool {
-        let waited = |since: BootTime| now >= since + REPEAT_AFTER;
-        let free = match self.rows.get(&number) {
+        let waited = |since: BootTime| now >= since + RETRY_DELAY;
+        let is_idle = match self.rows.get(&number) {
             None => true,
             Some(DeliveryState::Sending) => false,
             Some(DeliveryState::Ended(at)) => waited(*at),
         };
-        free && now >= self.leader_since + DELIVERY_GRACE
+        is_idle && now >= self.leader_since + DELIVERY_GRACE
     }
 
     /// Returns from when on nothing that this leader sent under the number can still be under way.
     ///
     /// Returns nothing while an attempt is under way, and for what this leader has not sent at all.
-    pub fn quiet_since(&self, number: u64) -> Option<BootTime> {
+    pub fn in_flight_until(&self, number: u64) -> Option<BootTime> {
         match self.rows.get(&number)? {
             DeliveryState::Sending => None,
             DeliveryState::Ended(at) => Some(*at + DELIVERY_USER_TIMEOUT),
--- a/crates/acaciabay/src/core/presence.rs
+++ b/crates/acaciabay/src/core/presence.rs
@@ -63,11 +63,11 @@
     ///
     /// When none is left, the change with that version is in force everywhere: every other host either serves by it
     /// or refuses all requests until it has asked again.
-    pub fn behind(&self, version: ConfigVersion, now: BootTime, entries: &EntryTable) -> Vec<HostName> {
-        let behind = entries.rows().filter(|(host, _)| {
-            let known = self.rows.get(*host).is_some_and(|row| row.version >= version);
-            !known && self.may_serve(host, now)
+    pub fn lagging_hosts(&self, version: ConfigVersion, now: BootTime, entries: &EntryTable) -> Vec<HostName> {
+        let lagging = entries.rows().filter(|(host, _)| {
+            let up_to_date = self.rows.get(*host).is_some_and(|row| row.version >= version);
+            !up_to_date && self.may_serve(host, now)
         });
-        behind.map(|(host, _)| host.clone()).collect()
+        lagging.map(|(host, _)| host.clone()).collect()
     }
 }
--- a/crates/acaciabay/src/core/share_table.rs
+++ b/crates/acaciabay/src/core/share_table.rs
@@ -30,7 +30,7 @@
     /// Its number.
     number: u64,
     /// The most that the entry may believe to have.
-    believed: u32,
+    max_assumed: u32,
     demand: PoolDemand,
 }
 
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct ShareTable {
     pools: BTreeMap<PoolName, BTreeMap<HostName, EntryGrant>>,
-    last: u64,
+    last_number: u64,
 }
 
 impl ShareTable {
@@ -51,9 +51,9 @@
             .entry(host.clone())
             .or_default();
         if demand.number == grant.number && grant.number > 0 {
-            grant.believed = grant.granted;
+            grant.max_assumed = grant.granted;
         } else {
-            grant.believed = grant.believed.max(demand.share);
+            grant.max_assumed = grant.max_assumed.max(demand.share);
         }
         grant.demand = demand;
     }
@@ -76,26 +76,26 @@
     /// Returns the pieces and the number of the grant.
     pub fn grant(&mut self, pool: &PoolName, host: &HostName, wanted: u32, capacity: u32) -> (u32, u64) {
         let grants = self.pools.entry(pool.clone()).or_default();
-        let promised: u64 = grants
+        let reserved: u64 = grants
             .iter()
             .filter(|(other, _)| *other != host)
-            .map(|(_, grant)| promised(grant))
+            .map(|(_, grant)| reserved_pieces(grant))
             .sum();
-        let free = u64::from(capacity).saturating_sub(promised);
+        let free = u64::from(capacity).saturating_sub(reserved);
         let pieces = u64::from(wanted).min(free);
         let pieces = u32::try_from(pieces).unwrap_or(u32::MAX);
         let grant = grants.entry(host.clone()).or_default();
         if grant.granted != pieces || grant.number == 0 {
-            self.last += 1;
-            grant.number = self.last;
+            self.last_number += 1;
+            grant.number = self.last_number;
             grant.granted = pieces;
         }
-        grant.believed = grant.believed.max(pieces);
+        grant.max_assumed = grant.max_assumed.max(pieces);
         (pieces, grant.number)
     }
 }
 
 /// What an entry may have in use at the most.
-fn promised(grant: &EntryGrant) -> u64 {
-    u64::from(grant.believed.max(grant.granted)).max(grant.demand.used)
+fn reserved_pieces(grant: &EntryGrant) -> u64 {
+    u64::from(grant.max_assumed.max(grant.granted)).max(grant.demand.used)
 }
--- a/crates/acaciabay/src/ops/plan_deliveries.rs
+++ b/crates/acaciabay/src/ops/plan_deliveries.rs
@@ -54,7 +54,7 @@
 ) -> Option<DeliveryStep> {
     let endpoint = endpoint?;
     let number = order.number.0;
-    let quiet_since = deliveries.quiet_since(number);
+    let quiet_since = deliveries.in_flight_until(number);
     let reported_since = quiet_since.is_some_and(|since| endpoint.heard_at >= since);
     let void = endpoint.incarnation > order.incarnation;
     let same = endpoint.incarnation == order.incarnation;
