--- a/crates/acaciabay/src/core/mod.rs
+++ b/crates/acaciabay/src/core/mod.rs
@@ -1,4 +1,4 @@
-//! The nouns: tables, leases, claims, endpoints and the state that the control group replicates.
+//! Data types and state: tables, leases, claims, endpoints and the state that the control group replicates.
 
 pub mod attempt;
 pub mod claim;
--- a/crates/acaciabay/src/lib.rs
+++ b/crates/acaciabay/src/lib.rs
@@ -1,12 +1,13 @@
-//! The decisions of acaciabay, free of I/O.
+//! The decision logic of acaciabay, without I/O.
 //!
-//! Nothing in this crate reads a clock, opens a socket or spawns a task: the present time and the random source are
-//! arguments, state lives in tables, and operations over those tables return what the caller has to do. The daemons
-//! turn bytes into inputs and effects back into bytes. That split lets every decision run against a naive version in
-//! a property test, and lets others embed a single part, for example the [`core::consensus`] replica.
+//! Nothing in this crate reads a clock, opens a socket or spawns a task. The current time and the source of randomness
+//! are arguments, state is held in tables, and operations on those tables return the effects that the caller must carry
+//! out. The daemons decode incoming bytes into inputs and encode the effects. This separation allows property tests to
+//! compare every decision with a naive implementation, and other programs to embed a single part, for example the
+//! [`core::consensus`] replica.
 //!
-//! [`core`] holds the nouns, [`ops`] one function for each operation, [`util`] what has no opinion. The reasons behind
-//! the larger choices stand in `docs/design/`.
+//! [`core`] contains the data types and their state transitions, [`ops`] one function for each operation, and [`util`]
+//! helpers that are independent of serving. `docs/design/` explains the larger design choices.
 
 pub mod core;
 pub mod ops;
--- a/crates/acaciabay/src/util/mod.rs
+++ b/crates/acaciabay/src/util/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers without an opinion about serving.
+//! General-purpose helpers that do not depend on the serving logic.
 
 pub mod byte_delta;
 pub mod digest;
