--- a/crates/acaciabay/src/util/byte_delta.rs
+++ b/crates/acaciabay/src/util/byte_delta.rs
@@ -1,8 +1,8 @@
-//! What turns one sequence of bytes into another: parts that are kept, and bytes that are new.
+//! Binary deltas: a target byte string as ranges copied from a base, and inserted bytes.
 //!
-//! Operators send a configuration as a whole, and one change in it touches several places, its number among them. A
-//! delta costs what has changed, wherever that stands, and is made in time that grows with the length alone, so that two
-//! documents without anything in common cost no more than two that are nearly equal.
+//! Operators submit a configuration as a whole document, and one change affects several places in it, such as the
+//! version number. The size of a delta depends only on the amount of changed data, not on its position. Computing a
+//! delta takes time proportional to the input length, also when the two documents have nothing in common.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,32 +10,36 @@
 use bytes::{Bytes, BytesMut};
 use fastcdc::v2020::{Chunk, FastCDC};
 
-/// Shortest, usual and longest chunk by which equal parts are found, in bytes: a route is a few hundred bytes long.
+/// Minimum, average and maximum size of the content-defined chunks that are compared, in bytes.
+///
+/// The sizes match those of a route, which is a few hundred bytes long.
 const CHUNK_SIZES: (usize, usize, usize) = (64, 256, 1_024);
-/// The largest result that is put together, in bytes: far beyond every configuration, within every process's memory.
+/// Maximum size of a reconstructed target, in bytes.
+///
+/// It is far larger than any configuration, yet fits into the memory of every process.
 const MAX_RESULT_BYTES: usize = 64 * 1024 * 1024;
 
-/// A part of the result.
+/// One instruction of a [`ByteDelta`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DeltaPiece {
-    /// Bytes of the base.
+    /// Copies a range of the base.
     Kept {
-        /// Where they begin in the base.
+        /// The offset of the range in the base.
         start: usize,
-        /// How many they are.
+        /// The number of bytes.
         length: usize,
     },
-    /// Bytes that the base does not have there.
+    /// Inserts new bytes.
     Inserted(Bytes),
 }
 
-/// What turns a base into a result: its pieces one after the other. A clone shares them.
+/// A sequence of pieces that reconstructs a target from a base. Clones share the pieces.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ByteDelta {
     pieces: Arc<[DeltaPiece]>,
 }
 
-/// The delta was made for another base, or its result would be too large.
+/// The error for a delta that was computed for another base or whose target would be too large.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DeltaMismatch;
 
@@ -48,7 +52,7 @@
 impl std::error::Error for DeltaMismatch {}
 
 impl ByteDelta {
-    /// Finds what turns `base` into `target`.
+    /// Computes the delta that turns `base` into `target`.
     pub fn between(base: &[u8], target: &Bytes) -> Self {
         let offsets: HashMap<&[u8], usize> = chunks(base)
             .map(|chunk| (chunk_bytes(base, &chunk), chunk.offset))
@@ -62,7 +66,7 @@
         };
         delta.copy_match(0, 0);
         for chunk in chunks(target) {
-            // A chunk of which a part is kept already is looked at no more: what follows it is found by the next one.
+            // The chunk overlaps the range copied last. Skip it: the next chunk finds any match that follows.
             if chunk.offset < delta.encoded_end {
                 continue;
             }
@@ -79,7 +83,7 @@
         Self::from_pieces(delta.pieces)
     }
 
-    /// Wraps pieces.
+    /// Builds a delta from its pieces.
     pub fn from_pieces(pieces: Vec<DeltaPiece>) -> Self {
         Self { pieces: pieces.into() }
     }
@@ -89,7 +93,7 @@
         &self.pieces
     }
 
-    /// Returns how many bytes are new.
+    /// Returns the number of inserted bytes.
     pub fn inserted_bytes(&self) -> usize {
         let lengths = self.pieces.iter().map(|piece| match piece {
             DeltaPiece::Kept { .. } => 0,
@@ -98,11 +102,11 @@
         lengths.sum()
     }
 
-    /// Puts the result together.
+    /// Reconstructs the target from `base`.
     ///
     /// # Errors
     ///
-    /// Fails when a piece lies outside the base, or the result would be larger than 64 MiB.
+    /// Returns an error if a piece refers to bytes outside the base, or if the target would exceed 64 MiB.
     pub fn apply(&self, base: &[u8]) -> Result<Bytes, DeltaMismatch> {
         let mut result = BytesMut::new();
         for piece in self.pieces.iter() {
@@ -122,20 +126,20 @@
     }
 }
 
-/// A delta of which the first pieces are known.
+/// A delta under construction: its pieces cover the target up to `encoded_end`.
 #[derive(Debug)]
 struct DeltaBuilder<'bytes> {
     base: &'bytes [u8],
     target: &'bytes Bytes,
-    /// Up to where the pieces give the target.
+    /// The end of the part of the target that the pieces already cover.
     encoded_end: usize,
-    /// Where the base goes on behind the last part that was kept.
+    /// The offset in the base just after the range copied last.
     base_next: usize,
     pieces: Vec<DeltaPiece>,
 }
 
 impl DeltaBuilder<'_> {
-    /// Keeps as much as is equal around `base_offset` in the base and `target_offset` in the target.
+    /// Copies the longest matching range around `base_offset` in the base and `target_offset` in the target.
     fn copy_match(&mut self, base_offset: usize, target_offset: usize) {
         let unencoded = &self.target[self.encoded_end..target_offset];
         let before = self.base[..base_offset].iter().rev().zip(unencoded.iter().rev());
@@ -154,7 +158,7 @@
         self.base_next = base_offset + matched_after;
     }
 
-    /// Inserts the target's bytes up to `end` that no piece gives yet.
+    /// Inserts the bytes of the target from `encoded_end` up to `end`.
     fn insert_until(&mut self, end: usize) {
         if end > self.encoded_end {
             self.pieces
