--- a/crates/acaciabay/src/util/digest.rs
+++ b/crates/acaciabay/src/util/digest.rs
@@ -1,4 +1,4 @@
-//! Content digests: equality of large values by 32 bytes.
+//! Content digests, which compare large values by 32 bytes.
 
 use std::fmt;
 
@@ -10,12 +10,13 @@
 pub struct ContentDigest(pub [u8; 32]);
 
 impl ContentDigest {
-    /// Digests the bytes.
+    /// Computes the digest of the bytes.
     pub fn of(bytes: impl AsRef<[u8]>) -> Self {
         Self(Sha256::digest(bytes.as_ref()).into())
     }
 
-    /// Compares in constant time, so that response times do not tell how much of a secret's digest was right.
+    /// Compares two digests in constant time, so that response times do not reveal how much of a secret's digest
+    /// matched.
     pub fn matches(&self, other: &Self) -> bool {
         self.0.ct_eq(&other.0).into()
     }
@@ -30,7 +31,7 @@
         text
     }
 
-    /// Reads a digest from 64 hexadecimal digits.
+    /// Parses a digest from 64 hexadecimal digits.
     pub fn from_hex(text: &str) -> Option<Self> {
         if text.len() != 64 || !text.is_ascii() {
             return None;
--- a/crates/acaciabay/src/util/number.rs
+++ b/crates/acaciabay/src/util/number.rs
@@ -1,18 +1,18 @@
-//! Whole numbers from estimates and times.
+//! Saturating conversions of estimates and durations to integers.
 
 use std::time::Duration;
 
-/// Returns the least whole number that is not below `value`; 0 for what is negative or no number.
+/// Rounds `value` up to an integer; negative values and NaN yield 0.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "such a cast saturates, which is what an estimate beyond all bounds should do"
+    reason = "float-to-integer casts saturate, which is the right result for an estimate out of range"
 )]
 pub fn round_up(value: f64) -> u64 {
     value.ceil() as u64
 }
 
-/// Returns the whole milliseconds of a time, as messages and logs carry them.
+/// Converts a duration to whole milliseconds, the unit used in messages and logs.
 pub fn whole_millis(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/acaciabay/src/util/rendezvous.rs
+++ b/crates/acaciabay/src/util/rendezvous.rs
@@ -1,16 +1,18 @@
 //! Rendezvous (highest random weight) hashing.
 //!
-//! Each pair of key and candidate gets a score, and the highest score wins. When a candidate leaves, only its own keys
-//! move; when one joins, it takes an even share from all others.
+//! Each pair of key and candidate has a score, and a key is assigned to the candidate with the highest score. When a
+//! candidate leaves, only its own keys move; when one joins, it takes an even share of the keys from all others.
 
 use sha2::{Digest, Sha256};
 
-/// Scores a candidate for a key; equal inputs score equally on every host and in every release.
+/// Scores a candidate for a key.
+///
+/// The score depends on the inputs alone, so it is the same on every host and in every release.
 pub fn score(key: &[u8], candidate: &[u8]) -> u64 {
     combine_hashes(hash(key), hash(candidate))
 }
 
-/// Hashes one side of a pair, for callers who score it against many others.
+/// Hashes a key or a candidate, for callers that score it against many others.
 pub fn hash(bytes: &[u8]) -> u64 {
     let digest = Sha256::digest(bytes);
     let mut first = [0; 8];
@@ -18,7 +20,9 @@
     u64::from_be_bytes(first)
 }
 
-/// Scores a pair by the hashes of its sides. The constants are those of the `SplitMix64` finaliser.
+/// Computes the score of a pair from the hashes of the key and the candidate.
+///
+/// The multipliers and shifts are those of the `SplitMix64` finalizer.
 pub const fn combine_hashes(key: u64, candidate: u64) -> u64 {
     let mut mixed = key ^ candidate.rotate_left(32);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
