--- a/crates/acaciabay/src/core/claim.rs
+++ b/crates/acaciabay/src/core/claim.rs
@@ -1,8 +1,8 @@
-//! Claims: the record that lets a call that may not be repeated run at most once.
+//! Claims: replicated records that ensure that a non-repeatable call runs at most once.
 //!
-//! An entry commits a claim before it writes to the endpoint. A claim covers one attempt and is never handed on: when
-//! its holder dies, the outcome is unknown for good, because nobody can tell whether the endpoint ran the call
-//! (`docs/design/at-most-once.md`).
+//! An entry commits a claim before it writes the call to an endpoint. A claim covers a single attempt and is never
+//! transferred. If its holder dies, the outcome stays unknown, because it is impossible to determine whether the
+//! endpoint ran the call (`docs/design/at-most-once.md`).
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -13,94 +13,99 @@
 use crate::core::name::{CustomerName, IdempotencyKey};
 use crate::util::digest::ContentDigest;
 
-/// How long a finished claim and its answer are kept. Callers are told this bound in `docs/CALLERS.md`.
+/// Retention of a finished claim and its answer, in seconds. `docs/CALLERS.md` documents this limit for callers.
 pub const CLAIM_RETENTION_SECS: u64 = 24 * 60 * 60;
 
-/// How long after the answer was dropped its key is still remembered, so that a late resend is refused, not run anew.
+/// Retention of a key after its answer was dropped, in seconds.
+///
+/// During this time a late resend is refused instead of being run again.
 pub const EXPIRED_CLAIM_RETENTION_SECS: u64 = 7 * 24 * 60 * 60;
 
-/// The most claims that are remembered at once. A new claim beyond it is refused rather than an old one forgotten,
-/// since forgetting a young claim would let its resend run a second time.
+/// Maximum number of claims kept at once.
+///
+/// When it is reached, new claims are refused. Evicting a claim that has not expired would let a resend of its call run
+/// a second time.
 pub const MAX_CLAIMS: usize = 1_000_000;
 
-/// The largest answer that is stored; a larger one is remembered as finished without its body.
+/// Maximum size of a stored answer body, in bytes. A call with a larger answer is recorded as finished, without the
+/// body.
 pub const MAX_STORED_ANSWER_BYTES: usize = 64 * 1024;
 
-/// Identifies a claim: the caller's key within its customer's own name space.
+/// The key of a claim: the caller's idempotency key, within the namespace of its customer.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClaimKey {
     /// The customer that sent the call.
     pub customer: CustomerName,
-    /// The idempotency key that came with it.
+    /// The idempotency key of the call.
     pub key: IdempotencyKey,
 }
 
-/// One attempt of one entry process.
+/// The holder of a claim: one attempt of one entry process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClaimHolder {
     /// The entry process that holds the claim.
     pub incarnation: EntryIncarnation,
-    /// The entry's own number for the attempt.
+    /// The number of the attempt, assigned by the entry.
     pub attempt: u64,
 }
 
-/// A whole answer of a plain service, kept for resends.
+/// A complete answer of a plain service, stored to answer resends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredAnswer {
-    /// The HTTP status.
+    /// The HTTP status code.
     pub status: u16,
-    /// The content type, empty when the service sent none.
+    /// The content type, or an empty string if the service sent none.
     pub content_type: String,
-    /// The body, or nothing when it was larger than [`MAX_STORED_ANSWER_BYTES`].
+    /// The body, or `None` if it was larger than [`MAX_STORED_ANSWER_BYTES`].
     pub body: Option<Bytes>,
 }
 
-/// How far the claimed call has come.
+/// The state of a claimed call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimState {
     /// The holder may have written the call to an endpoint.
     Running,
     /// The endpoint answered.
     Finished(StoredAnswer),
-    /// The holder lost sight of the call after it had written it.
+    /// The holder wrote the call but never learned its outcome.
     Unknown,
-    /// The answer has passed its age bound; only the fact that the call was claimed is left.
+    /// The retention of the answer has ended; only the fact that the call was claimed is kept.
     Expired,
 }
 
-/// One claim.
+/// A claim and its state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimRow {
     /// The attempt that the claim covers.
     pub holder: ClaimHolder,
-    /// The digest of the call, so that the same key with another body is refused.
+    /// The digest of the call, used to refuse another call with the same key.
     pub digest: ContentDigest,
-    /// How far the call has come.
+    /// The state of the call.
     pub state: ClaimState,
-    /// When the claim was taken.
+    /// The time at which the claim was taken.
     pub claimed_at: WallTime,
 }
 
-/// What a request for a claim gets.
+/// The outcome of a request for a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimOutcome {
     /// The holder may write the call, once.
     Granted,
-    /// The call has run; this is its answer.
+    /// The call has run and had this answer.
     Answered(StoredAnswer),
-    /// Another attempt is under way.
+    /// Another attempt is in progress.
     Running,
     /// An earlier attempt may or may not have run the call.
     Unknown,
-    /// The key came before with another call.
+    /// The key was used for another call before.
     Mismatch,
-    /// The key is older than the retention of answers.
+    /// The key was used before, and the retention of the answer has ended.
     Expired,
-    /// No more claims can be remembered at present.
+    /// The table already holds [`MAX_CLAIMS`] claims.
     Full,
 }
 
-/// All claims that are remembered.
+/// The table of all claims.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClaimTable {
     rows: BTreeMap<ClaimKey, ClaimRow>,
@@ -124,10 +129,10 @@
         self.rows.iter()
     }
 
-    /// Takes a claim for one attempt, or tells what became of the earlier one.
+    /// Takes a claim for one attempt, or returns the state of the existing claim for the key.
     ///
-    /// The same holder asking again after a lost answer is granted again: it has not written the call yet, because it
-    /// writes only after the answer.
+    /// A holder that asks again because the reply was lost is granted the claim again. This is safe: the holder writes
+    /// the call only after it has received the reply.
     pub fn take(&mut self, now: WallTime, key: &ClaimKey, holder: ClaimHolder, digest: ContentDigest) -> ClaimOutcome {
         self.expire(now);
         if let Some(row) = self.rows.get(key) {
@@ -157,14 +162,14 @@
         }
     }
 
-    /// Records that the holder wrote the call and lost sight of it.
+    /// Records that the holder wrote the call but does not know its outcome.
     pub fn mark_unknown(&mut self, key: &ClaimKey, holder: ClaimHolder) {
         if let Some(row) = self.running_row(key, holder) {
             row.state = ClaimState::Unknown;
         }
     }
 
-    /// Gives back a claim whose call was never written, so that a resend may run.
+    /// Releases a claim whose call was never written, so that a resend may run.
     pub fn release(&mut self, key: &ClaimKey, holder: ClaimHolder) {
         if self.running_row(key, holder).is_some() {
             self.rows.remove(key);
@@ -172,7 +177,7 @@
         }
     }
 
-    /// Turns the running claims of an entry process that is gone into ones of unknown outcome.
+    /// Marks all running claims of a terminated entry process as unknown.
     pub fn mark_holder_unknown(&mut self, incarnation: EntryIncarnation) {
         let running = self.rows.values_mut().filter(|row| row.state == ClaimState::Running);
         for row in running.filter(|row| row.holder.incarnation == incarnation) {
