--- a/crates/acaciabay/src/core/clock.rs
+++ b/crates/acaciabay/src/core/clock.rs
@@ -1,33 +1,33 @@
-//! Time as a value, so that every function that decides receives the present time from its caller.
+//! Time types. Decision functions receive the current time as an argument instead of reading a clock.
 
 use std::fmt;
 use std::ops::Add;
 use std::time::Duration;
 
-/// A moment on the host's boot clock, which goes on counting while the host is suspended.
+/// A point in time on the host's boot clock, which keeps counting while the host is suspended.
 ///
-/// A monotonic clock that stops during suspension would let a resumed leader believe that its lease still runs; the
-/// boot clock does not (see `docs/design/authority.md`). Moments of different hosts cannot be compared.
+/// With a monotonic clock that stops during suspension, a resumed leader could treat an expired lease as valid (see
+/// `docs/design/authority.md`). Times from different hosts must not be compared.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BootTime(Duration);
 
 impl BootTime {
-    /// Wraps the time elapsed since the host started.
+    /// Creates a time from the duration since the host booted.
     pub const fn from_boot(elapsed: Duration) -> Self {
         Self(elapsed)
     }
 
-    /// Returns the moment that many milliseconds after the host started.
+    /// Creates a time from the number of milliseconds since the host booted.
     pub const fn from_millis(millis: u64) -> Self {
         Self(Duration::from_millis(millis))
     }
 
-    /// Returns the time elapsed since the host started.
+    /// Returns the duration since the host booted.
     pub const fn since_boot(self) -> Duration {
         self.0
     }
 
-    /// Returns the time from `earlier` to this moment, or zero when `earlier` lies in the future.
+    /// Returns the duration from `earlier` to this time, or zero if `earlier` is later than this time.
     pub const fn since(self, earlier: Self) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
@@ -47,14 +47,14 @@
     }
 }
 
-/// Seconds since the Unix epoch, for figures that people or the billing platform read.
+/// Wall-clock time in seconds since the Unix epoch, for values that are read by people or by the billing platform.
 ///
-/// No lease and no timeout is ever derived from it, because wall clocks jump.
+/// Leases and timeouts must not be derived from it, because wall clocks can jump.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WallTime(u64);
 
 impl WallTime {
-    /// Wraps a number of seconds since the Unix epoch.
+    /// Creates a time from the number of seconds since the Unix epoch.
     pub const fn from_secs(secs: u64) -> Self {
         Self(secs)
     }
