--- a/crates/acaciabay/src/core/control_state.rs
+++ b/crates/acaciabay/src/core/control_state.rs
@@ -1,7 +1,8 @@
 //! The state that the control group replicates, and the commands that change it.
 //!
-//! Every replica applies the same commands in the same order, so each must come to the same result: a command carries
-//! whatever time or number it needs, and [`ControlState::apply`] reads nothing else.
+//! Every replica applies the same commands in the same order and must reach the same state. Commands therefore carry
+//! every timestamp and number that they need, and [`ControlState::apply`] depends on nothing but the command and the
+//! current state.
 
 use crate::core::claim::{ClaimHolder, ClaimKey, ClaimOutcome, ClaimTable, StoredAnswer};
 use crate::core::clock::WallTime;
@@ -16,7 +17,7 @@
 use crate::core::usage::{UsageReport, UsageTable};
 use crate::util::digest::ContentDigest;
 
-/// A change of the replicated state.
+/// A command that changes the replicated state.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ControlCommand {
     /// Edits the routes.
@@ -33,120 +34,120 @@
         host: HostName,
         /// The host's failure domain.
         domain: DomainName,
-        /// Identifies this start of the process.
+        /// The nonce that identifies this start of the process.
         nonce: JoinNonce,
     },
     /// Removes an entry host that was taken out of service.
     RemoveEntry(HostName),
     /// Takes a claim for a call that may run at most once.
     TakeClaim {
-        /// The leader's wall clock when it proposed the command.
+        /// The leader's wall-clock time when it proposed the command.
         now: WallTime,
-        /// Which call.
+        /// The claimed call.
         key: ClaimKey,
-        /// Which attempt.
+        /// The attempt that holds the claim.
         holder: ClaimHolder,
         /// The digest of the call.
         digest: ContentDigest,
     },
     /// Ends a claim.
     EndClaim {
-        /// Which call.
+        /// The claimed call.
         key: ClaimKey,
-        /// Which attempt.
+        /// The attempt that holds the claim.
         holder: ClaimHolder,
-        /// How it ended.
+        /// The way in which the claim ends.
         end: ClaimEnd,
     },
     /// Counts a usage report.
     CountUsage(UsageReport),
-    /// Fixes the figures of the next usage window.
+    /// Seals the usage window with this number, so that its figures no longer change.
     SealWindow(u64),
-    /// Records that the platform has acknowledged a window.
+    /// Records that the platform has acknowledged a usage window.
     AcknowledgeWindow(u64),
-    /// Records the intent to order an endpoint.
+    /// Records the intent to send an order to an endpoint.
     IntendOrder {
-        /// Which endpoint.
+        /// The endpoint that the order is for.
         endpoint: EndpointName,
-        /// Which start of it.
+        /// The incarnation of the endpoint that the order is for.
         incarnation: EndpointIncarnation,
-        /// What it shall be.
+        /// The target state of the endpoint.
         target: OrderTarget,
     },
     /// Records that an order is settled.
     SettleOrder {
-        /// Which endpoint.
+        /// The endpoint that the order is for.
         endpoint: EndpointName,
-        /// Which order.
+        /// The number of the order.
         number: OrderNumber,
     },
-    /// Changes what serves calls by host and path.
+    /// Changes the state for calls that are routed by host and path.
     Serving(ServingCommand),
 }
 
-/// How a claim ends.
+/// The way in which a claim ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimEnd {
     /// The endpoint answered.
     Answered(StoredAnswer),
-    /// The call was written, but no answer came.
+    /// The call was written, but no answer arrived.
     Lost,
     /// The call was never written.
     Released,
 }
 
-/// What a command came to.
+/// The outcome of a command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CommandOutcome {
     /// A table has this number now, and the configuration this version.
     Table {
         /// The table's number.
         number: TableNumber,
-        /// The version of the whole configuration that contains the edit.
+        /// A version of the configuration that contains the edit.
         version: ConfigVersion,
     },
     /// A table edit was refused.
     Conflict(TableConflict),
-    /// A key was issued or withdrawn; `changed` is false when nothing had to change.
+    /// A key was issued or withdrawn; `changed` is false if the command had no effect.
     Key {
         /// Whether the command changed anything.
         changed: bool,
-        /// The version of the whole configuration that contains it.
+        /// The version of the configuration after the command.
         version: ConfigVersion,
     },
-    /// An entry process was granted this incarnation.
+    /// An entry process joined and was granted this incarnation.
     Joined(EntryIncarnation),
-    /// A request for a claim came to this.
+    /// A request for a claim was processed with this outcome.
     Claim(ClaimOutcome),
-    /// An order was given this number, or refused.
+    /// An order was recorded under this number, or was refused.
     Order(Result<OrderNumber, OrderRefusal>),
-    /// A change of what serves calls by host and path came to this.
+    /// A [`ControlCommand::Serving`] command was applied with this outcome.
     Serving(ServingOutcome),
-    /// The command was carried out and has nothing to tell.
+    /// The command was applied and returns no result.
     Done,
 }
 
-/// The whole replicated state.
+/// The complete replicated state.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ControlState {
     /// Routes, pools and keys.
     pub config: EntryConfig,
-    /// The latest changes of `config`.
+    /// The most recent changes of `config`.
     pub history: ConfigHistory,
     /// Entry hosts and their incarnations.
     pub entries: EntryTable,
     /// Claims of calls that may run at most once.
     pub claims: ClaimTable,
-    /// Usage counted and sealed.
+    /// Usage of all customers, in open and sealed windows.
     pub usage: UsageTable,
     /// Orders to endpoints.
     pub orders: OrderTable,
-    /// Configuration and duties for calls by host and path.
+    /// Configuration and duties for calls that are routed by host and path.
     pub serving: ServingState,
 }
 
 impl ControlState {
-    /// Applies one committed command.
+    /// Applies a committed command.
     pub fn apply(&mut self, command: &ControlCommand) -> CommandOutcome {
         match command {
             ControlCommand::EditRoutes(edit) => self.edit_routes(edit),
@@ -187,7 +188,7 @@
         }
     }
 
-    /// Returns the version of the configuration that is committed.
+    /// Returns the committed version of the configuration.
     pub const fn version(&self) -> ConfigVersion {
         self.config.version
     }
@@ -216,7 +217,7 @@
         })
     }
 
-    /// Records the change that an edit has made; a resend has made none.
+    /// Records the change that an edit made. A resend makes no change, so none is recorded for it.
     fn finish_edit(
         &mut self,
         applied: Result<AppliedEdit, TableConflict>,
@@ -299,7 +300,7 @@
     }
 }
 
-/// What an accepted edit has come to.
+/// The result of an accepted edit.
 #[derive(Clone, Copy, Debug)]
 struct AppliedEdit {
     number: TableNumber,
