--- a/crates/acaciabay/src/core/delivery.rs
+++ b/crates/acaciabay/src/core/delivery.rs
@@ -1,4 +1,4 @@
-//! What the leader knows of its own attempts to deliver orders and usage windows.
+//! Delivery state: the leader's own attempts to deliver orders and usage windows.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,30 +6,30 @@
 use crate::core::clock::BootTime;
 use crate::core::consensus::{CLOCK_DRIFT, LEADER_LEASE};
 
-/// How long the kernel may go on delivering what was written on a connection for orders (`TCP_USER_TIMEOUT`).
+/// Maximum time for which the kernel may still deliver data written to an order connection (`TCP_USER_TIMEOUT`).
 pub const DELIVERY_USER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long after its election a leader sends nothing.
+/// Time after its election during which a leader sends nothing.
 ///
-/// Until then the leader before it may still hold its lease, and what it wrote under that lease may still be under way.
-/// An endpoint that ignores fencing numbers would then obey whichever arrives last.
+/// During this time the previous leader may still hold its lease, and data that it wrote under that lease may still be
+/// in flight. An endpoint that ignores fencing numbers would obey whichever order arrives last.
 pub const DELIVERY_GRACE: Duration = LEADER_LEASE
     .saturating_add(DELIVERY_USER_TIMEOUT)
     .saturating_add(CLOCK_DRIFT);
 
-/// How long to wait before an attempt is repeated.
+/// Minimum delay between the end of an attempt and the next one.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// One delivery.
+/// The state of one delivery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum DeliveryState {
-    /// An attempt is under way.
+    /// An attempt is in progress.
     Sending,
     /// The last attempt ended without a clear answer.
     Ended(BootTime),
 }
 
-/// The deliveries of this leader, by the number of what is delivered.
+/// The deliveries of this leader, by the number of the order or usage window.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DeliveryTable {
     leader_since: BootTime,
@@ -37,7 +37,7 @@
 }
 
 impl DeliveryTable {
-    /// Starts anew, as a replica does that has just become leader.
+    /// Creates an empty table for a replica that became leader at `leader_since`.
     pub const fn starting_at(leader_since: BootTime) -> Self {
         Self {
             leader_since,
@@ -45,12 +45,12 @@
         }
     }
 
-    /// Returns since when this leader leads.
+    /// Returns the time at which this replica became leader.
     pub const fn leader_since(&self) -> BootTime {
         self.leader_since
     }
 
-    /// Tells whether an attempt may begin now.
+    /// Returns true if an attempt may start at `now`.
     pub fn may_send(&self, number: u64, now: BootTime) -> bool {
         let waited = |since: BootTime| now >= since + RETRY_DELAY;
         let is_idle = match self.rows.get(&number) {
@@ -61,9 +61,9 @@
         is_idle && now >= self.leader_since + DELIVERY_GRACE
     }
 
-    /// Returns from when on nothing that this leader sent under the number can still be under way.
+    /// Returns the time until which data that this leader sent under `number` may still be in flight.
     ///
-    /// Returns nothing while an attempt is under way, and for what this leader has not sent at all.
+    /// Returns `None` while an attempt is in progress, and if this leader has made no attempt.
     pub fn in_flight_until(&self, number: u64) -> Option<BootTime> {
         match self.rows.get(&number)? {
             DeliveryState::Sending => None,
@@ -71,17 +71,17 @@
         }
     }
 
-    /// Notes that an attempt begins.
+    /// Records the start of an attempt.
     pub fn begin(&mut self, number: u64) {
         self.rows.insert(number, DeliveryState::Sending);
     }
 
-    /// Notes that an attempt ended without a clear answer.
+    /// Records that an attempt ended without a conclusive answer.
     pub fn end(&mut self, number: u64, now: BootTime) {
         self.rows.insert(number, DeliveryState::Ended(now));
     }
 
-    /// Forgets what is settled.
+    /// Removes a delivery that is settled.
     pub fn forget(&mut self, number: u64) {
         self.rows.remove(&number);
     }
