--- a/crates/acaciabay/src/core/endpoint.rs
+++ b/crates/acaciabay/src/core/endpoint.rs
@@ -1,7 +1,7 @@
-//! Endpoints as an entry knows them: announced, reporting, draining, gone.
+//! Endpoints as known from their reports.
 //!
-//! The table is soft state. It is rebuilt from announcements within one report interval after any process restarts,
-//! which is why it is not part of the replicated log.
+//! The table is soft state and not part of the replicated log, because it is rebuilt from the reports of the endpoints
+//! within one report interval after any process restarts.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,65 +10,65 @@
 use crate::core::clock::BootTime;
 use crate::core::name::{DomainName, EndpointName, ModelName, ServiceName};
 
-/// How long an endpoint may go without a report before it gets no new work.
+/// Time without a report after which an endpoint gets no new work.
 ///
-/// Endpoints report twice a second; a silent death is therefore noticed within "a few seconds".
+/// Endpoints report twice a second, so a crash without notice is detected within a few seconds.
 pub const REPORT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long a silent endpoint stays in the table, so that status can show it.
+/// Time without a report after which an endpoint is removed from the table. Until then, status requests show it.
 pub const FORGET_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// One start of an endpoint's process. Nothing sent for an earlier start is valid for a later one.
+/// The number of one start of an endpoint's process. Nothing sent for an earlier start is valid for a later one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointIncarnation(pub u64);
 
-/// What an endpoint does.
+/// The kind of requests that an endpoint serves.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EndpointWork {
-    /// It runs these models.
+    /// Completions of these models.
     Models(Vec<ModelName>),
-    /// It is an instance of this plain service.
+    /// Calls of this plain service.
     Service(ServiceName),
 }
 
-/// What an endpoint says of its own readiness.
+/// The readiness that an endpoint reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EndpointState {
-    /// It takes new work.
+    /// The endpoint accepts new work.
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// The endpoint finishes its running requests and accepts no new ones.
     Draining,
 }
 
 /// The latest report of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointRow {
-    /// The start of the process that reported.
+    /// The incarnation of the process that sent the report.
     pub incarnation: EndpointIncarnation,
-    /// The endpoint's own number for the report, rising within an incarnation.
+    /// The number of the report, assigned by the endpoint and increasing within an incarnation.
     pub sequence: u64,
-    /// Where requests are sent.
+    /// The address to which requests are sent.
     pub address: SocketAddr,
     /// The failure domain that the endpoint is in.
     pub domain: DomainName,
-    /// What the endpoint does.
+    /// The kind of requests that the endpoint serves.
     pub work: EndpointWork,
-    /// Whether it takes new work.
+    /// The readiness of the endpoint.
     pub state: EndpointState,
-    /// Requests that it was running when it reported.
+    /// The number of requests that were running at the time of the report.
     pub running: u32,
-    /// Requests that it can run at once.
+    /// The maximum number of concurrent requests.
     pub slots: u32,
-    /// Pieces of its memory in use when it reported; a service counts one for each call.
+    /// The number of memory pieces in use at the time of the report. A service counts one piece for each call.
     pub pieces_used: u32,
-    /// Pieces of its memory.
+    /// The total number of memory pieces.
     pub pieces: u32,
-    /// When this process learned of the report.
+    /// The time at which this process learned of the report.
     pub heard_at: BootTime,
 }
 
 impl EndpointRow {
-    /// Tells whether the endpoint may be given new work at `now`.
+    /// Returns true if the endpoint may be given new work at `now`.
     pub fn takes_work(&self, now: BootTime) -> bool {
         self.state == EndpointState::Ready && now.since(self.heard_at) < REPORT_TIMEOUT
     }
@@ -78,17 +78,18 @@
     }
 }
 
-/// All endpoints that have reported lately.
+/// The table of all endpoints that have reported recently.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EndpointTable {
     rows: BTreeMap<EndpointName, EndpointRow>,
 }
 
 impl EndpointTable {
-    /// Takes over a report unless a later one is known, and tells whether it was new.
+    /// Stores a report unless a later one is known, and returns true if it was stored.
     ///
-    /// Reports reach an entry directly and by way of the leader, so that they cross. One of an earlier incarnation, or
-    /// one with a lower number, would bring back a state that the endpoint has left, for example ready after draining.
+    /// Reports reach an entry both directly and through the leader, so they can arrive out of order. A report of an
+    /// earlier incarnation, or with a lower number, would restore a state that the endpoint has left, for example ready
+    /// after draining.
     pub fn report(&mut self, name: &EndpointName, row: EndpointRow) -> bool {
         if self.rows.get(name).is_some_and(|known| known.order() >= row.order()) {
             return false;
@@ -97,7 +98,7 @@
         true
     }
 
-    /// Drops endpoints that have been silent for longer than [`FORGET_TIMEOUT`].
+    /// Removes endpoints that have not reported for [`FORGET_TIMEOUT`].
     pub fn forget_silent(&mut self, now: BootTime) {
         self.rows.retain(|_, row| now.since(row.heard_at) < FORGET_TIMEOUT);
     }
