--- a/crates/acaciabay/src/core/endpoint_changes.rs
+++ b/crates/acaciabay/src/core/endpoint_changes.rs
@@ -1,7 +1,7 @@
-//! Endpoint reports in the order in which the leader learned of them, so that each entry is told only what is new to it.
+//! An index of endpoint reports by revision, which lets the leader send each entry only the reports that are new to it.
 //!
-//! A report is filed under each entry that hears of the endpoint when it arrives. Looking through all reports at each
-//! renewal instead took a leader a whole core at 350 entries and 2,000 endpoints (`docs/CAPACITY.md`).
+//! A report is indexed under each subscriber of its endpoint when it arrives. Scanning all reports at each renewal
+//! instead used a whole CPU core of the leader at 350 entries and 2,000 endpoints (`docs/CAPACITY.md`).
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -12,24 +12,26 @@
 use crate::core::name::{EndpointName, HostName};
 use crate::core::subset_plan::SubsetPlan;
 
-/// How often silent endpoints are looked for.
+/// Minimum interval between two scans for silent endpoints.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// An endpoint table that remembers when each row last changed, counted in reports.
+/// An endpoint table with the revision at which each row last changed.
+///
+/// The revision increases by one with each stored report.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointChanges {
     table: EndpointTable,
     revision: u64,
     revisions: HashMap<EndpointName, u64>,
     subsets: SubsetPlan,
-    /// For every entry, while each hears of every endpoint.
+    /// The index for all entries, used while the subset plan is a full mesh.
     shared: ChangeIndex,
-    /// For each entry, once there are more of them.
+    /// The index for each entry, used while the subset plan is not a full mesh.
     by_entry: HashMap<HostName, ChangeIndex>,
     last_expiry_at: BootTime,
 }
 
-/// Endpoints by when they were last heard of.
+/// Endpoints by the revision of their latest report.
 #[derive(Clone, Debug, Default)]
 struct ChangeIndex {
     by_revision: BTreeMap<u64, EndpointName>,
@@ -52,7 +54,7 @@
 }
 
 impl EndpointChanges {
-    /// Takes over which entries serve; files everything anew when they have changed.
+    /// Sets the entries that serve, and rebuilds the index if they have changed.
     pub fn set_entries(&mut self, entries: &EntryTable) {
         if !self.subsets.set_entries(entries) {
             return;
@@ -64,7 +66,7 @@
         }
     }
 
-    /// Takes over a report unless a later one is known.
+    /// Stores and indexes a report unless a later one is known.
     pub fn report(&mut self, name: &EndpointName, row: EndpointRow) {
         if !self.table.report(name, row) {
             return;
@@ -80,7 +82,7 @@
         );
     }
 
-    /// Drops endpoints that have been silent for long.
+    /// Removes silent endpoints from the table and the index, at most once per `EXPIRY_INTERVAL`.
     pub fn forget_silent(&mut self, now: BootTime) {
         if now.since(self.last_expiry_at) < EXPIRY_INTERVAL {
             return;
@@ -124,7 +126,7 @@
         names.filter_map(|name| self.table.get(name).map(|row| (name, row)))
     }
 
-    /// Returns the endpoints themselves.
+    /// Returns the table of endpoints.
     pub const fn table(&self) -> &EndpointTable {
         &self.table
     }
