--- a/crates/acaciabay/src/core/entry_config.rs
+++ b/crates/acaciabay/src/core/entry_config.rs
@@ -1,4 +1,4 @@
-//! The configuration that an entry serves by, kept up to date by differences.
+//! The configuration of an entry, kept up to date by incremental changes.
 
 use std::collections::VecDeque;
 
@@ -7,35 +7,35 @@
 use crate::core::name::PoolName;
 use crate::core::table::{PoolRow, PoolTable, RouteRow, RouteTable, RouteTarget, TableNumber};
 
-/// How many changes the control group keeps so that entries can catch up by differences.
+/// Number of changes that the control group keeps so that entries can catch up incrementally.
 ///
-/// At the target's 8,700 changes a day it covers more than five hours; an entry that was away longer, or that starts
-/// anew, gets the whole configuration.
+/// At the target load of 8,700 changes a day, this covers more than five hours. An entry that was disconnected for
+/// longer, or that has just started, gets the whole configuration.
 pub const MAX_HISTORY_CHANGES: usize = 2_048;
 
-/// Counts the accepted changes of routes, pools and keys together.
+/// The version of a configuration: the number of accepted changes of routes, pools and keys.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConfigVersion(pub u64);
 
-/// One accepted change as entries learn of it.
+/// An accepted change, in the form in which it is sent to entries.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConfigChange {
     /// Routes were added, replaced or removed.
     Routes {
         /// The number of the table after the change.
         number: TableNumber,
-        /// Rows added or replaced.
+        /// The rows that were added or replaced.
         upserts: Vec<RouteRow>,
-        /// Keys of rows removed.
+        /// The keys of the rows that were removed.
         removals: Vec<(CustomerName, RouteTarget)>,
     },
     /// Pools were added, replaced or removed.
     Pools {
         /// The number of the table after the change.
         number: TableNumber,
-        /// Rows added or replaced.
+        /// The rows that were added or replaced.
         upserts: Vec<PoolRow>,
-        /// Names of pools removed.
+        /// The names of the pools that were removed.
         removals: Vec<PoolName>,
     },
     /// A key was issued.
@@ -47,21 +47,21 @@
 /// Routes, pools and keys at one version.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EntryConfig {
-    /// The version of the state.
+    /// The version of the configuration.
     pub version: ConfigVersion,
-    /// Where each customer's traffic goes.
+    /// The routes of all customers.
     pub routes: RouteTable,
-    /// Which endpoints serve it.
+    /// The pools that the routes refer to.
     pub pools: PoolTable,
-    /// Which keys are in force.
+    /// The keys that are in force.
     pub keys: KeyTable,
 }
 
 impl EntryConfig {
-    /// Applies the changes that lead from `from` to later versions, one version each.
+    /// Applies consecutive changes that start at version `from`. Each change increments the version by one.
     ///
-    /// Returns false, and changes nothing, when they do not start at the present version. Applying them all the same
-    /// would leave out or repeat changes, and an older answer that arrives late would bring back a withdrawn key.
+    /// Returns false and changes nothing if `from` is not the current version. Applying the changes anyway would skip
+    /// or repeat some of them, and a delayed answer could restore a withdrawn key.
     pub fn apply_changes(&mut self, from: ConfigVersion, changes: &[ConfigChange]) -> bool {
         if from != self.version {
             return false;
@@ -73,7 +73,7 @@
         true
     }
 
-    /// Takes over a whole configuration unless it is older than the present one, and tells whether it did.
+    /// Replaces the configuration unless `whole` is older, and returns true if it was replaced.
     pub fn replace(&mut self, whole: Self) -> bool {
         if whole.version < self.version {
             return false;
@@ -104,7 +104,7 @@
     }
 }
 
-/// The latest changes, from which an entry catches up.
+/// The most recent changes, from which entries catch up.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ConfigHistory {
     last: ConfigVersion,
@@ -112,7 +112,7 @@
 }
 
 impl ConfigHistory {
-    /// Starts an empty history at a version, as after reading a snapshot.
+    /// Creates an empty history at a version, for example after a snapshot was loaded.
     pub const fn starting_at(version: ConfigVersion) -> Self {
         Self {
             last: version,
@@ -125,7 +125,7 @@
         self.last
     }
 
-    /// Adds a change and drops the oldest beyond [`MAX_HISTORY_CHANGES`].
+    /// Appends a change, and removes the oldest one if there are more than [`MAX_HISTORY_CHANGES`].
     pub fn push(&mut self, change: ConfigChange) {
         self.last = ConfigVersion(self.last.0 + 1);
         self.changes.push_back(change);
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Returns the changes after `version`, or nothing when they are no longer kept.
+    /// Returns the changes after `version`, or `None` if some of them are no longer kept or `version` is in the future.
     pub fn since(&self, version: ConfigVersion) -> Option<impl Iterator<Item = &ConfigChange>> {
         let missing = usize::try_from(self.last.0.checked_sub(version.0)?).ok()?;
         let start = self.changes.len().checked_sub(missing)?;
