--- a/crates/acaciabay/src/core/fair_queue.rs
+++ b/crates/acaciabay/src/core/fair_queue.rs
@@ -1,24 +1,25 @@
-//! Start-time fair queueing: customers are served in proportion to their weights by what their requests cost, however
-//! many requests each of them sends.
+//! Start-time fair queueing: the service that each customer gets, measured by the cost of its requests, is proportional
+//! to its weight, regardless of the number of requests that it sends.
 //!
-//! Every request gets a start tag, the later of the queue's virtual time and the finish tag of the same customer's
-//! request before it, and a finish tag its cost divided by the weight later. The request with the lowest start tag goes
-//! first. A customer with one request now and then therefore never waits behind another one's backlog.
+//! The start tag of a request is the later of the current virtual time and the finish tag of the same customer's
+//! previous request. Its finish tag is the start tag plus the cost divided by the customer's weight. The request with
+//! the lowest start tag is served first. A customer that sends occasional requests therefore never waits behind the
+//! backlog of another customer.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::core::name::CustomerName;
 
-/// Identifies a waiting request within its queue.
+/// The number of a request, unique within its [`FairQueue`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TicketNumber(pub u64);
 
-/// What a request asks for.
+/// The resources that a request needs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestCost {
-    /// Pieces of engine memory that it holds while it runs.
+    /// The number of pieces of engine memory that the request occupies while it runs.
     pub pieces: u32,
-    /// Its priced tokens, by which fairness is counted.
+    /// The weighted sum of its tokens, the cost used for fair queueing.
     pub tokens: u64,
 }
 
@@ -32,12 +33,12 @@
 #[derive(Clone, Debug, Default)]
 struct CustomerQueue {
     waiting: VecDeque<WaitingRequest>,
-    /// The finish tag of the customer's last request, waiting or gone.
+    /// The finish tag of the customer's last request, which may have been served already.
     last_finish: f64,
     pieces: u64,
 }
 
-/// Requests that wait for the same pool, in one queue for each customer.
+/// The requests that wait for a pool, in one queue for each customer.
 #[derive(Clone, Debug, Default)]
 pub struct FairQueue {
     queues: BTreeMap<CustomerName, CustomerQueue>,
@@ -47,12 +48,12 @@
 }
 
 impl FairQueue {
-    /// Sets the weights of customers.
+    /// Sets the weights of all customers.
     pub fn set_weights(&mut self, weights: BTreeMap<CustomerName, f64>) {
         self.weights = weights;
     }
 
-    /// Returns a customer's weight. One that is not named has just come, and counts as the others do on the average.
+    /// Returns the weight of a customer. A customer without a weight is new and gets the mean of all weights.
     pub fn weight(&self, customer: &CustomerName) -> f64 {
         let mean = || self.weights.values().sum::<f64>() / self.weights.len() as f64;
         let configured = self.weights.get(customer).copied();
@@ -73,12 +74,12 @@
         ticket
     }
 
-    /// Returns the cost of the request that is next.
+    /// Returns the cost of the next request.
     pub fn next_cost(&self) -> Option<RequestCost> {
         self.next_request().map(|(_, request)| request.cost)
     }
 
-    /// Takes the request that is next.
+    /// Removes and returns the next request.
     pub fn pop(&mut self) -> Option<TicketNumber> {
         let (customer, request) = self
             .next_request()
@@ -92,7 +93,7 @@
         Some(request.ticket)
     }
 
-    /// Removes a request that has stopped waiting.
+    /// Removes a request that no longer waits, and returns true if it was in the queue.
     pub fn cancel(&mut self, customer: &CustomerName, ticket: TicketNumber) -> bool {
         let Some(queue) = self.queues.get_mut(customer) else {
             return false;
@@ -106,12 +107,12 @@
         true
     }
 
-    /// Returns how many requests of a customer wait.
+    /// Returns the number of waiting requests of a customer.
     pub fn waiting(&self, customer: &CustomerName) -> usize {
         self.queues.get(customer).map_or(0, |queue| queue.waiting.len())
     }
 
-    /// Returns how many pieces each customer waits for.
+    /// Returns the number of pieces that each customer with waiting requests needs for them.
     pub fn backlog(&self) -> impl Iterator<Item = (&CustomerName, u64)> {
         self.queues
             .iter()
@@ -119,7 +120,7 @@
             .map(|(customer, queue)| (customer, queue.pieces))
     }
 
-    /// Tells whether nothing waits.
+    /// Returns true if no request is waiting.
     pub fn is_empty(&self) -> bool {
         self.queues.values().all(|queue| queue.waiting.is_empty())
     }
@@ -138,7 +139,8 @@
         })
     }
 
-    /// Forgets customers whose last request lies in the past of the virtual time: a later one starts afresh anyway.
+    /// Removes idle customers whose last finish tag the virtual time has reached: their next request would start at the
+    /// virtual time anyway.
     fn remove_idle(&mut self) {
         let now = self.virtual_time;
         self.queues
