--- a/crates/acaciabay/src/core/key.rs
+++ b/crates/acaciabay/src/core/key.rs
@@ -1,11 +1,11 @@
-//! Callers' keys, held as digests only.
+//! API keys of callers, stored only as digests.
 
 use std::collections::BTreeMap;
 
 use crate::core::name::CustomerName;
 use crate::util::digest::ContentDigest;
 
-/// Identifies a key towards operators without revealing it: the first 12 digits of its digest.
+/// The identifier that operators use for a key: the first 12 digits of its digest, which do not reveal the key.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyId(String);
 
@@ -15,7 +15,7 @@
         Self(digest.to_hex()[..12].to_owned())
     }
 
-    /// Wraps an identifier that an operator typed.
+    /// Creates an identifier from text that an operator entered.
     pub fn new(text: impl Into<String>) -> Self {
         Self(text.into())
     }
@@ -26,29 +26,30 @@
     }
 }
 
-/// One issued key.
+/// An issued key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyRow {
-    /// The digest of the secret; the secret itself is shown once, to the operator who issues it.
+    /// The digest of the secret. The secret itself is shown only once, to the operator who issues the key.
     pub digest: ContentDigest,
-    /// The customer whose requests the key admits.
+    /// The customer whose requests the key authenticates.
     pub customer: CustomerName,
 }
 
-/// All keys that are in force.
+/// The table of all keys that are in force.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct KeyTable {
     rows: BTreeMap<KeyId, KeyRow>,
 }
 
 impl KeyTable {
-    /// Adds a key; a resend of the same key changes nothing. Returns whether the key is now in force for `row`'s customer.
+    /// Adds a key and returns true if it is now in force for the customer of `row`. Adding the same key again has no
+    /// effect.
     pub fn issue(&mut self, row: &KeyRow) -> bool {
         let present = self.rows.entry(KeyId::of(&row.digest)).or_insert_with(|| row.clone());
         present == row
     }
 
-    /// Removes a key and tells whether it was in force.
+    /// Removes a key and returns true if it was in force.
     pub fn withdraw(&mut self, id: &KeyId) -> bool {
         self.rows.remove(id).is_some()
     }
@@ -65,8 +66,8 @@
 
     /// Returns the customer whose key has this digest.
     ///
-    /// The row is found by a prefix of the digest, and the whole digest is compared in constant time: a caller who
-    /// measures response times learns nothing about a digest that it cannot invert anyway.
+    /// The row is looked up by a prefix of the digest, and the whole digest is compared in constant time. Response
+    /// times therefore reveal nothing useful to a caller, who cannot invert a digest.
     pub fn authenticate(&self, digest: &ContentDigest) -> Option<&CustomerName> {
         let row = self.rows.get(&KeyId::of(digest))?;
         row.digest.matches(digest).then_some(&row.customer)
--- a/crates/acaciabay/src/core/member.rs
+++ b/crates/acaciabay/src/core/member.rs
@@ -1,32 +1,32 @@
-//! Entries that have joined, each start of an entry process under an incarnation of its own.
+//! Entry hosts that have joined the system, and the incarnations of their entry processes.
 
 use std::collections::BTreeMap;
 
 use crate::core::name::{DomainName, HostName};
 
-/// The number that the control group grants to one start of an entry process.
+/// The number that the control group assigns to one start of an entry process.
 ///
-/// It is committed before it is used, so that claims and usage of a restarted entry can never be taken for those of
-/// the process before it. Neither a clock nor a random source could promise that.
+/// It is committed before it is used, so claims and usage of a restarted entry are never mistaken for those of the
+/// previous process. Neither a clock nor a random number could guarantee that.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EntryIncarnation(pub u64);
 
-/// Identifies one request to join, so that a join whose answer was lost is not granted twice.
+/// The identifier of a join request. It prevents a resend after a lost answer from being granted a second incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JoinNonce(pub u64);
 
-/// The latest incarnation of one entry host.
+/// An entry host and its latest incarnation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntryRow {
     /// The failure domain that the host is in.
     pub domain: DomainName,
-    /// The incarnation granted last.
+    /// The incarnation that was granted last.
     pub incarnation: EntryIncarnation,
-    /// The request that it was granted for.
+    /// The join request for which the incarnation was granted.
     pub nonce: JoinNonce,
 }
 
-/// All entry hosts that have ever joined and were not removed.
+/// The table of all entry hosts that have joined and have not been removed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EntryTable {
     last: EntryIncarnation,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Grants an incarnation, the same one when the same request comes again.
+    /// Grants an incarnation to a host. A resend of the host's latest request gets the same incarnation again.
     pub fn join(&mut self, host: &HostName, domain: &DomainName, nonce: JoinNonce) -> EntryIncarnation {
         if let Some(row) = self.rows.get(host).filter(|row| row.nonce == nonce) {
             return row.incarnation;
@@ -57,7 +57,7 @@
         self.last
     }
 
-    /// Forgets a host that was taken out of service, and tells whether it was known.
+    /// Removes a host that was taken out of service, and returns true if it was in the table.
     pub fn remove(&mut self, host: &HostName) -> bool {
         self.rows.remove(host).is_some()
     }
@@ -72,7 +72,7 @@
         self.rows.iter()
     }
 
-    /// Tells whether the incarnation is the latest of its host.
+    /// Returns true if the incarnation is the latest of a host in the table.
     pub fn is_current(&self, incarnation: EntryIncarnation) -> bool {
         self.rows.values().any(|row| row.incarnation == incarnation)
     }
--- a/crates/acaciabay/src/core/name.rs
+++ b/crates/acaciabay/src/core/name.rs
@@ -1,4 +1,4 @@
-//! Typed names, so that a customer can never be passed where a pool is expected.
+//! Distinct types for names, so that the compiler rejects a customer name where a pool name is expected.
 
 use std::fmt;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Copies the text into a shared name.
+            /// Creates a name from text. Clones of the name share one copy of the text.
             pub fn new(text: impl AsRef<str>) -> Self {
                 Self(Arc::from(text.as_ref()))
             }
@@ -42,34 +42,34 @@
 }
 
 name_type! {
-    /// Names a customer, the party that a key belongs to and that usage is billed to.
+    /// The name of a customer, which owns keys and is billed for usage.
     CustomerName
 }
 name_type! {
-    /// Names a pool of endpoints; routes refer to pools by this name only.
+    /// The name of a pool of endpoints. Routes refer to pools only by this name.
     PoolName
 }
 name_type! {
-    /// Names an endpoint, a back end that runs requests.
+    /// The name of an endpoint, a back end that runs requests.
     EndpointName
 }
 name_type! {
-    /// Names a host of the system.
+    /// The name of a host of the system.
     HostName
 }
 name_type! {
-    /// Names a failure domain, a set of hosts that may be lost together.
+    /// The name of a failure domain, a set of hosts that can fail together.
     DomainName
 }
 name_type! {
-    /// Names a language model as callers ask for it.
+    /// The name of a language model, as used in requests.
     ModelName
 }
 name_type! {
-    /// Names a plain service, for example a booking application.
+    /// The name of a plain service, for example a booking application.
     ServiceName
 }
 name_type! {
-    /// The idempotency key with which a caller marks a call that may run at most once.
+    /// The idempotency key that a caller sends with a call that must run at most once.
     IdempotencyKey
 }
