--- a/crates/acaciabay/src/core/order.rs
+++ b/crates/acaciabay/src/core/order.rs
@@ -9,36 +9,37 @@
 use crate::core::endpoint::EndpointIncarnation;
 use crate::core::name::EndpointName;
 
-/// The number of an order; it rises over the whole life of the group and serves as the fencing number.
+/// The number of an order. Numbers increase over the whole lifetime of the control group and are used for fencing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OrderNumber(pub u64);
 
-/// What an endpoint is told to be. An order carries the target, not a difference, so that sending it again is harmless.
+/// The target state that an order requests. Orders carry a state and not a change, so that sending one again is
+/// harmless.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderTarget {
-    /// Take new work.
+    /// Accept new work.
     Serve,
-    /// Finish what runs and take nothing new.
+    /// Finish running requests and accept no new ones.
     Drain,
 }
 
-/// One order.
+/// An order to an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OrderRow {
-    /// The order's number.
+    /// The number of the order.
     pub number: OrderNumber,
-    /// The start of the endpoint that the order is meant for.
+    /// The incarnation of the endpoint that the order is for.
     pub incarnation: EndpointIncarnation,
-    /// What the endpoint is told to be.
+    /// The target state of the endpoint.
     pub target: OrderTarget,
-    /// Whether the endpoint has carried the order out or can no longer do so.
+    /// True once the endpoint has executed the order or can no longer do so.
     pub settled: bool,
 }
 
-/// Why an order was not taken.
+/// The reason why an order was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderRefusal {
-    /// Another order to the endpoint is not settled yet.
+    /// An earlier order to the endpoint, with this number, is not settled yet.
     Unsettled(OrderNumber),
 }
 
@@ -60,11 +61,12 @@
 
     /// Records the intent to send an order.
     ///
-    /// The same target for the same incarnation, asked for again, is the same order.
+    /// While an order is unsettled, a request with the same target and incarnation returns the number of that order.
     ///
     /// # Errors
     ///
-    /// Refuses while an order with another target is unsettled, because the endpoint might end up holding both.
+    /// Returns an error while an order with another target or incarnation is unsettled, because the endpoint could
+    /// receive both orders.
     pub fn intend(
         &mut self,
         endpoint: &EndpointName,
@@ -90,14 +92,14 @@
         Ok(self.last)
     }
 
-    /// Marks an order as settled; an older number changes nothing.
+    /// Marks an order as settled. The call has no effect if `number` is not the endpoint's last order.
     pub fn settle(&mut self, endpoint: &EndpointName, number: OrderNumber) {
         if let Some(row) = self.rows.get_mut(endpoint).filter(|row| row.number == number) {
             row.settled = true;
         }
     }
 
-    /// Returns the number given last.
+    /// Returns the number of the last order.
     pub const fn last(&self) -> OrderNumber {
         self.last
     }
