--- a/crates/acaciabay/src/core/pool_admission.rs
+++ b/crates/acaciabay/src/core/pool_admission.rs
@@ -1,4 +1,4 @@
-//! What one entry lets into one pool: no more than its share, in fair order.
+//! Admission of requests from one entry to one pool, within the entry's share and in fair order.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,19 +7,20 @@
 use crate::core::fair_queue::{FairQueue, RequestCost, TicketNumber};
 use crate::core::name::CustomerName;
 
-/// How tokens are priced against each other. A generated token occupies an engine about as long as four prompt tokens.
+/// Cost of an output token, in prompt tokens. Generating a token occupies an engine about as long as four prompt
+/// tokens.
 pub const OUTPUT_TOKEN_PRICE: u64 = 4;
-/// Tokens in one piece of an engine's memory.
+/// Number of tokens in one piece of an engine's memory.
 pub const TOKENS_PER_PIECE: u64 = 1_000;
-/// Most requests of one customer that wait in one entry.
+/// Maximum number of requests of one customer that wait in one entry for one pool.
 const MAX_WAITING_PER_CUSTOMER: usize = 512;
-/// The share that an entry takes until the leader has granted one.
+/// Share that an entry uses until the leader has granted one, in pieces.
 const INITIAL_SHARE: u32 = 4;
-/// Over how long the rate of service is averaged.
+/// Length of the window over which the admission rate is averaged.
 const RATE_WINDOW: Duration = Duration::from_secs(2);
 
 impl RequestCost {
-    /// Works out what a request asks for.
+    /// Computes the cost of a request from its token counts.
     pub fn of(prompt_tokens: u64, output_tokens: u64) -> Self {
         let pieces = (prompt_tokens + output_tokens).div_ceil(TOKENS_PER_PIECE).max(1);
         let pieces = u32::try_from(pieces).unwrap_or(u32::MAX);
@@ -30,39 +31,41 @@
     }
 }
 
-/// Why a request does not wait.
+/// The refusal of a request that would have to wait too long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionRefusal {
-    /// When the customer's line will have moved on enough.
+    /// The time after which the caller should retry: the expected wait of the customer's queue, at least one second.
     pub retry_after: Duration,
 }
 
-/// What the leader has granted to an entry for one pool.
+/// The share of a pool that the leader has granted to an entry.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PoolShare {
-    /// Pieces that the entry may have in use.
+    /// The number of pieces that the entry may have in use.
     pub pieces: u32,
-    /// The grant's number, which the entry repeats when it asks again.
+    /// The number of the grant, which the entry sends back with its next demand.
     pub number: u64,
-    /// The weights of the customers that come through this entry.
+    /// The weights of the customers whose requests arrive at this entry.
     pub weights: BTreeMap<CustomerName, f64>,
 }
 
-/// The admission of one entry to one pool.
+/// The admission state of one pool in one entry.
 #[derive(Clone, Debug)]
 pub struct PoolAdmission {
     queue: FairQueue,
     share: PoolShare,
     used: u64,
     running: BTreeMap<CustomerName, u64>,
-    /// Pieces admitted in the present window of time, and pieces a second in the one before.
+    /// The start of the current rate window.
     window_start: BootTime,
+    /// The number of pieces admitted in the current rate window.
     window_pieces: u64,
+    /// The number of pieces admitted per second in the previous rate window.
     rate: f64,
 }
 
 impl PoolAdmission {
-    /// Starts without requests and with a small share of its own.
+    /// Creates the admission state with no requests and a small initial share.
     pub fn new(now: BootTime) -> Self {
         Self {
             queue: FairQueue::default(),
@@ -78,12 +81,13 @@
         }
     }
 
-    /// Lets a request wait, or refuses it when it would wait longer than `max_wait`.
+    /// Adds a request to the queue unless its expected wait exceeds `max_wait`.
     ///
     /// # Errors
     ///
-    /// Refuses at once: a request that is held although it cannot be served in time costs its caller that time and
-    /// the ones behind it their place.
+    /// Returns an error if the expected wait exceeds `max_wait`, or if too many requests of the customer are waiting.
+    /// The request is refused immediately, because holding a request that cannot be served in time wastes the caller's
+    /// time and delays the requests behind it.
     pub fn enqueue(
         &mut self,
         now: BootTime,
@@ -101,9 +105,10 @@
         Ok(self.queue.push(customer, cost))
     }
 
-    /// Admits the next request if the share has room for it.
+    /// Admits the next request if it fits into the share.
     ///
-    /// A request larger than the whole share is admitted alone; it would otherwise wait for ever.
+    /// When no piece is in use, the next request is admitted regardless of its size. Otherwise, a request larger than
+    /// the whole share would wait forever.
     pub fn admit_next(&mut self, now: BootTime) -> Option<TicketNumber> {
         let cost = self.queue.next_cost()?;
         let fits = self.used + u64::from(cost.pieces) <= u64::from(self.share.pieces);
@@ -115,13 +120,13 @@
         self.queue.pop()
     }
 
-    /// Counts an admitted request as running.
+    /// Records the start of an admitted request.
     pub fn begin(&mut self, customer: &CustomerName, cost: RequestCost) {
         self.used += u64::from(cost.pieces);
         *self.running.entry(customer.clone()).or_default() += u64::from(cost.pieces);
     }
 
-    /// Counts a request as ended.
+    /// Records the end of a request.
     pub fn end(&mut self, customer: &CustomerName, cost: RequestCost) {
         let pieces = u64::from(cost.pieces);
         self.used = self.used.saturating_sub(pieces);
@@ -133,28 +138,28 @@
         }
     }
 
-    /// Removes a request that has stopped waiting, and tells whether it was still waiting.
+    /// Removes a request that no longer waits, and returns true if it was still in the queue.
     pub fn cancel(&mut self, customer: &CustomerName, ticket: TicketNumber) -> bool {
         self.queue.cancel(customer, ticket)
     }
 
-    /// Takes over a share from the leader.
+    /// Applies a share that the leader has granted.
     pub fn grant(&mut self, share: PoolShare) {
         self.queue.set_weights(share.weights.clone());
         self.share = share;
     }
 
-    /// Returns the share in force.
+    /// Returns the current share.
     pub const fn share(&self) -> &PoolShare {
         &self.share
     }
 
-    /// Returns the pieces in use.
+    /// Returns the number of pieces in use.
     pub const fn used(&self) -> u64 {
         self.used
     }
 
-    /// Returns the pieces that each customer uses or waits for.
+    /// Returns the number of pieces that each customer uses or waits for.
     pub fn demand(&self) -> BTreeMap<CustomerName, u64> {
         let mut demand = self.running.clone();
         for (customer, pieces) in self.queue.backlog() {
@@ -163,8 +168,8 @@
         demand
     }
 
-    /// Estimates how long a new request of the customer would wait: its own line, served at its part of the rate at
-    /// which this entry has admitted lately.
+    /// Estimates the wait of a new request of the customer: the customer's own backlog divided by its weighted fraction
+    /// of the entry's recent admission rate.
     fn expected_wait(&self, customer: &CustomerName) -> Duration {
         let backlog: BTreeMap<&CustomerName, u64> = self.queue.backlog().collect();
         let Some(own) = backlog.get(customer).copied() else {
