--- a/crates/acaciabay/src/core/presence.rs
+++ b/crates/acaciabay/src/core/presence.rs
@@ -1,7 +1,8 @@
-//! What the leader knows of the entries: who serves by which version, and until when at the most.
+//! The leader's view of the entries: the configuration version that each one uses, and when its lease ends at the
+//! latest.
 //!
-//! The table is soft state of one leader. A new leader does not know which leases its predecessor confirmed, so it
-//! counts every entry as serving by an old version until those leases must have run out.
+//! The table is soft state of a single leader. A new leader does not know which leases its predecessor confirmed, so it
+//! assumes that every entry uses an old version until those leases must have expired.
 
 use std::collections::BTreeMap;
 
@@ -11,18 +12,18 @@
 use crate::core::name::HostName;
 use crate::core::serving_lease::{LEASE_DRIFT, SERVING_LEASE};
 
-/// What the leader last confirmed to one entry host.
+/// The latest lease confirmation that the leader sent to an entry host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PresenceRow {
     /// The entry process.
     pub incarnation: EntryIncarnation,
-    /// The version that it said it serves by.
+    /// The configuration version that the entry reported to use.
     pub version: ConfigVersion,
-    /// When the leader confirmed it.
+    /// The time at which the leader confirmed the lease.
     pub confirmed_at: BootTime,
 }
 
-/// Everything that this leader has confirmed since it became leader.
+/// The lease confirmations that this leader has sent since it became leader.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PresenceTable {
     leader_since: BootTime,
@@ -30,7 +31,7 @@
 }
 
 impl PresenceTable {
-    /// Starts anew, as a replica does that has just become leader.
+    /// Creates an empty table for a replica that became leader at `leader_since`.
     pub const fn starting_at(leader_since: BootTime) -> Self {
         Self {
             leader_since,
@@ -38,31 +39,31 @@
         }
     }
 
-    /// Returns since when this leader leads.
+    /// Returns the time at which this replica became leader.
     pub const fn leader_since(&self) -> BootTime {
         self.leader_since
     }
 
-    /// Notes that an entry's lease was confirmed.
+    /// Records that an entry's lease was confirmed.
     pub fn confirm(&mut self, host: &HostName, row: PresenceRow) {
         self.rows.insert(host.clone(), row);
     }
 
-    /// Returns what was last confirmed to a host.
+    /// Returns the latest confirmation sent to a host.
     pub fn get(&self, host: &HostName) -> Option<&PresenceRow> {
         self.rows.get(host)
     }
 
-    /// Tells whether a host's lease may still run at `now`, and so whether it may serve.
+    /// Returns true if a host's lease may still be valid at `now`, so that the host may serve requests.
     pub fn may_serve(&self, host: &HostName, now: BootTime) -> bool {
         let confirmed_at = self.rows.get(host).map_or(self.leader_since, |row| row.confirmed_at);
         now < confirmed_at + SERVING_LEASE + LEASE_DRIFT
     }
 
-    /// Returns the hosts that may still serve by a version older than `version`.
+    /// Returns the hosts that may still serve requests under a version older than `version`.
     ///
-    /// When none is left, the change with that version is in force everywhere: every other host either serves by it
-    /// or refuses all requests until it has asked again.
+    /// If there are none, the change with that version is in force everywhere: every other host either uses it or
+    /// refuses all requests until its lease is confirmed again.
     pub fn lagging_hosts(&self, version: ConfigVersion, now: BootTime, entries: &EntryTable) -> Vec<HostName> {
         let lagging = entries.rows().filter(|(host, _)| {
             let up_to_date = self.rows.get(*host).is_some_and(|row| row.version >= version);
