--- a/crates/acaciabay/src/core/retry_budget.rs
+++ b/crates/acaciabay/src/core/retry_budget.rs
@@ -1,15 +1,15 @@
-//! A budget that keeps retries from multiplying.
+//! A retry budget, which limits the load that retries add.
 //!
-//! When a pool fails, callers, entries and the balancer all retry, and the pool gets several times its usual load at
-//! the worst moment. The budget lets an entry retry a share of its successes only, so that its own part of that stays
-//! small.
+//! When a pool fails, callers, entries and the load balancer all retry. The pool then gets several times its usual load
+//! when it can handle it least. The budget limits an entry's retries to a fraction of its successful requests, so that
+//! its own contribution to the extra load stays small.
 
-/// How much of a retry each success earns.
+/// Fraction of a retry that each successful request adds to the budget.
 const DEPOSIT_PER_SUCCESS: f64 = 0.1;
-/// The most that can be balance up, and what an entry starts with.
+/// Maximum balance, which is also the initial balance.
 const MAX_BALANCE: f64 = 20.0;
 
-/// Retries that one entry may still make.
+/// The number of retries that an entry may still make.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
     balance: f64,
@@ -22,12 +22,12 @@
 }
 
 impl RetryBudget {
-    /// Notes a request that succeeded.
+    /// Adds the deposit for a successful request.
     pub const fn deposit(&mut self) {
         self.balance = (self.balance + DEPOSIT_PER_SUCCESS).min(MAX_BALANCE);
     }
 
-    /// Takes one retry from the budget and tells whether there was one.
+    /// Withdraws one retry from the budget, and returns false if the balance is too low.
     pub fn try_withdraw(&mut self) -> bool {
         if self.balance < 1.0 {
             return false;
