--- a/crates/acaciabay/src/core/share_table.rs
+++ b/crates/acaciabay/src/core/share_table.rs
@@ -1,40 +1,41 @@
-//! What the leader has granted of each pool to each entry, so that all grants together never exceed the pool.
+//! The share of each pool that the leader has granted to each entry. The grants of a pool never exceed its capacity.
 //!
-//! A grant that was lowered may still be in use: the answer that lowers it can be late or lost. Each entry therefore
-//! repeats the number of its grant, and until it has confirmed the lower one the higher one counts.
+//! An entry may still use its old grant after the leader has lowered it, because the answer that lowers it can be
+//! delayed or lost. Each entry therefore sends back the number of its current grant, and until it has confirmed the
+//! lower grant, the higher one is counted.
 
 use std::collections::BTreeMap;
 
 use crate::core::name::{CustomerName, HostName, PoolName};
 use crate::core::token_latency::TokenLatencyReport;
 
-/// What one entry asks for in one pool.
+/// The demand of one entry for one pool.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PoolDemand {
-    /// Pieces in use.
+    /// The number of pieces in use.
     pub used: u64,
-    /// The grant that the entry acts under.
+    /// The number of pieces in the grant that the entry currently uses.
     pub share: u32,
-    /// That grant's number.
+    /// The number of that grant.
     pub number: u64,
-    /// Pieces that each customer uses or waits for.
+    /// The number of pieces that each customer uses or waits for.
     pub customers: BTreeMap<CustomerName, u64>,
-    /// How fast the pool's engines have answered since the entry last asked.
+    /// The latencies of the pool's engines since the entry's previous demand.
     pub latency: TokenLatencyReport,
 }
 
 #[derive(Clone, Debug, Default)]
 struct EntryGrant {
-    /// What was granted last.
+    /// The number of pieces that were granted last.
     granted: u32,
-    /// Its number.
+    /// The number of the last grant.
     number: u64,
-    /// The most that the entry may believe to have.
+    /// The largest grant that the entry may still assume to hold, in pieces.
     max_assumed: u32,
     demand: PoolDemand,
 }
 
-/// The grants of all pools.
+/// The grants of all pools to all entries.
 #[derive(Clone, Debug, Default)]
 pub struct ShareTable {
     pools: BTreeMap<PoolName, BTreeMap<HostName, EntryGrant>>,
@@ -42,7 +43,7 @@
 }
 
 impl ShareTable {
-    /// Takes an entry's demand and what it confirms.
+    /// Stores an entry's demand and processes the grant number that it confirms.
     pub fn report(&mut self, pool: &PoolName, host: &HostName, demand: PoolDemand) {
         let grant = self
             .pools
@@ -58,7 +59,7 @@
         grant.demand = demand;
     }
 
-    /// Forgets entries that may not serve any more.
+    /// Removes the grants of all hosts for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&HostName) -> bool) {
         for grants in self.pools.values_mut() {
             grants.retain(|host, _| keep(host));
@@ -71,9 +72,9 @@
         grants.map(|(host, grant)| (host, &grant.demand)).collect()
     }
 
-    /// Grants up to `wanted` pieces to an entry, as far as the pool's capacity is not promised to others.
+    /// Grants up to `wanted` pieces to an entry, limited to the capacity that is not reserved for other entries.
     ///
-    /// Returns the pieces and the number of the grant.
+    /// Returns the number of granted pieces and the number of the grant.
     pub fn grant(&mut self, pool: &PoolName, host: &HostName, wanted: u32, capacity: u32) -> (u32, u64) {
         let grants = self.pools.entry(pool.clone()).or_default();
         let reserved: u64 = grants
@@ -95,7 +96,7 @@
     }
 }
 
-/// What an entry may have in use at the most.
+/// Returns the maximum number of pieces that an entry may have in use.
 fn reserved_pieces(grant: &EntryGrant) -> u64 {
     u64::from(grant.max_assumed.max(grant.granted)).max(grant.demand.used)
 }
--- a/crates/acaciabay/src/core/subset_plan.rs
+++ b/crates/acaciabay/src/core/subset_plan.rs
@@ -1,9 +1,10 @@
-//! Which entries hear of which endpoint.
+//! Subsetting: the selection of the entries that receive the reports of each endpoint.
 //!
-//! At today's size every entry hears of every endpoint. At the target's, 350 entries cannot all be told the load of
-//! 4,100 endpoints within 4 KB/s, so each endpoint is heard of by a fixed number of entries, picked by rendezvous
-//! hashing. Picking from the endpoint's side leaves no endpoint unheard, whose capacity would be paid for in vain; and
-//! when an entry leaves, only the endpoints that it heard of get another one. `docs/CAPACITY.md` has the sums.
+//! At the current size, every entry receives the reports of every endpoint. At the target size, the load of 4,100
+//! endpoints cannot be sent to each of 350 entries within 4 KB/s. Each endpoint is therefore assigned a fixed number of
+//! subscribing entries by rendezvous hashing. Selecting entries for each endpoint, and not endpoints for each entry,
+//! ensures that no endpoint is left without an entry and its paid capacity unused. When an entry leaves, only the
+//! endpoints that it subscribed to get another one. `docs/CAPACITY.md` contains the calculation.
 
 use std::collections::HashMap;
 
@@ -11,11 +12,13 @@
 use crate::core::name::{EndpointName, HostName};
 use crate::util::rendezvous;
 
-/// How many entries hear of an endpoint. Two picks among a dozen entries spread a burst, and twelve exceeds the number
-/// of entry hosts of today, so that nothing changes at that size.
+/// Number of entries that subscribe to each endpoint.
+///
+/// With a dozen entries, placement by two random choices spreads a burst. Twelve is more than the current number
+/// of entry hosts, so subsetting has no effect at the current size.
 pub const ENTRIES_PER_ENDPOINT: usize = 12;
 
-/// The entries that hear of each endpoint, worked out when first asked for.
+/// The subscribers of each endpoint, computed on first use.
 #[derive(Clone, Debug, Default)]
 pub struct SubsetPlan {
     entries: Vec<(HostName, u64)>,
@@ -23,7 +26,7 @@
 }
 
 impl SubsetPlan {
-    /// Takes over the entries that serve, and tells whether they have changed.
+    /// Sets the entries that serve, and returns true if they have changed.
     pub fn set_entries(&mut self, entries: &EntryTable) -> bool {
         let hosts = || entries.rows().map(|(host, _)| host);
         if hosts().eq(self.entries.iter().map(|(host, _)| host)) {
@@ -36,12 +39,12 @@
         true
     }
 
-    /// Tells whether every entry hears of every endpoint.
+    /// Returns true if every entry subscribes to every endpoint.
     pub const fn is_full_mesh(&self) -> bool {
         self.entries.len() <= ENTRIES_PER_ENDPOINT
     }
 
-    /// Returns the entries that hear of an endpoint.
+    /// Returns the entries that subscribe to an endpoint.
     pub fn subscribers(&mut self, endpoint: &EndpointName) -> &[HostName] {
         let entries = &self.entries;
         self.subscribers
