--- a/crates/acaciabay/src/core/table.rs
+++ b/crates/acaciabay/src/core/table.rs
@@ -1,8 +1,9 @@
-//! The two tables that operators edit, routes and pools, each under compare-and-set by number.
+//! The two tables that operators edit, routes and pools, with optimistic concurrency control by table number.
 //!
-//! A write names the number of the table that it was made against. Two operators who edit the same number therefore
-//! race for one successor, and the loser learns the current number instead of overwriting the winner's rows. An
-//! operator whose answer was lost sends the same edit again and gets the first answer (`docs/design/tables.md`).
+//! A write contains the table number on which it is based. If two operators edit the same number, only the first write
+//! is accepted. The second one is refused with the current number, so it does not overwrite the rows of the first. An
+//! operator who did not receive the answer resends the same edit and gets the original answer
+//! (`docs/design/tables.md`).
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -10,33 +11,33 @@
 use crate::core::name::{CustomerName, EndpointName, ModelName, PoolName, ServiceName};
 use crate::util::digest::ContentDigest;
 
-/// How many accepted writes a table remembers in order to recognise a resend.
+/// Number of accepted writes that a table remembers to recognize resends.
 ///
-/// An operator's resend follows within seconds; at the target's 8,700 changes a day this covers more than two hours.
+/// Operators resend within seconds. At the target load of 8,700 changes a day, this covers more than two hours.
 const MAX_REMEMBERED_WRITES: usize = 1_024;
 
-/// The number of a table's state; each accepted write raises it by one.
+/// The version number of a table. Each accepted write increments it by one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TableNumber(pub u64);
 
 impl TableNumber {
-    /// Returns the number that the next accepted write gets.
+    /// Returns the number that the table gets from the next accepted write.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
     }
 }
 
-/// A row that a [`NumberedTable`] stores, found by its key.
+/// A row of a [`NumberedTable`], identified by its key.
 pub trait TableRow: Clone + PartialEq {
-    /// What identifies the row within its table.
+    /// The type of the key that identifies a row within its table.
     type Key: Ord + Clone;
 
-    /// Returns the key under which the row is stored.
+    /// Returns the key of the row.
     fn key(&self) -> Self::Key;
 }
 
-/// What a route points a customer's traffic at.
+/// The model or service that the requests of a route ask for.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RouteTarget {
     /// Completions of this model.
@@ -45,16 +46,16 @@
     Service(ServiceName),
 }
 
-/// One route: where one customer's traffic for one target goes.
+/// A route, which assigns the traffic of one customer for one target to a pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteRow {
-    /// The customer whose requests the route carries.
+    /// The customer whose requests use the route.
     pub customer: CustomerName,
     /// The model or service that the requests ask for.
     pub target: RouteTarget,
-    /// The pool that serves them; it need not exist yet.
+    /// The pool that serves the requests. It need not exist yet.
     pub pool: PoolName,
-    /// How long a request may take from arrival to its last byte.
+    /// The maximum time from the arrival of a request to the last byte of its answer.
     pub deadline: Duration,
 }
 
@@ -66,23 +67,23 @@
     }
 }
 
-/// What kind of endpoint a pool consists of.
+/// The kind of endpoints in a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum PoolKind {
     /// Language-model engines.
     Engine,
-    /// Services whose calls may be sent again.
+    /// Services whose calls may be repeated.
     Repeatable,
     /// Services whose calls must run at most once, such as bookings and dispatches.
     AtMostOnce,
 }
 
-/// Selects endpoints by exact name, or by prefix when it ends in `*`.
+/// A pattern that matches endpoints by exact name, or by prefix if it ends in `*`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointPattern(pub String);
 
 impl EndpointPattern {
-    /// Tells whether the pattern selects the endpoint.
+    /// Returns true if the pattern matches the endpoint.
     pub fn matches(&self, endpoint: &EndpointName) -> bool {
         match self.0.strip_suffix('*') {
             Some(prefix) => endpoint.as_str().starts_with(prefix),
@@ -91,19 +92,19 @@
     }
 }
 
-/// One pool: which endpoints serve the routes that name it.
+/// A pool: the endpoints that serve the routes that refer to it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PoolRow {
     /// The name that routes refer to.
     pub name: PoolName,
-    /// The kind of all its endpoints.
+    /// The kind of all endpoints in the pool.
     pub kind: PoolKind,
-    /// Which announced endpoints belong to the pool.
+    /// The patterns that select the endpoints of the pool.
     pub endpoints: Vec<EndpointPattern>,
 }
 
 impl PoolRow {
-    /// Tells whether the endpoint belongs to this pool.
+    /// Returns true if the endpoint belongs to this pool.
     pub fn contains(&self, endpoint: &EndpointName) -> bool {
         self.endpoints.iter().any(|pattern| pattern.matches(endpoint))
     }
@@ -117,27 +118,27 @@
     }
 }
 
-/// The difference that one write makes to a table.
+/// An edit of a table, as the difference between two of its states.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TableEdit<R: TableRow> {
-    /// The number of the table that the write was made against.
+    /// The table number on which the edit is based.
     pub expected: TableNumber,
-    /// Identifies the operator's request, so that a resend is recognised.
+    /// The digest of the operator's request, used to recognize a resend.
     pub digest: ContentDigest,
-    /// Rows to add or to replace.
+    /// The rows to add or replace.
     pub upserts: Vec<R>,
-    /// Keys of rows to remove.
+    /// The keys of the rows to remove.
     pub removals: Vec<R::Key>,
 }
 
-/// Why a write was refused.
+/// The refusal of an edit that is not based on the current table number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TableConflict {
-    /// The number that the table has now.
+    /// The current number of the table.
     pub current: TableNumber,
 }
 
-/// A table of rows with a number and a bounded memory of accepted writes.
+/// A table with a version number and a bounded history of accepted writes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NumberedTable<R: TableRow> {
     number: TableNumber,
@@ -170,7 +171,7 @@
         }
     }
 
-    /// Returns the number of the present state.
+    /// Returns the current number of the table.
     pub const fn number(&self) -> TableNumber {
         self.number
     }
@@ -185,12 +186,12 @@
         self.rows.values()
     }
 
-    /// Returns the remembered writes, oldest first, for a snapshot.
+    /// Returns the remembered accepted writes, oldest first, for a snapshot.
     pub fn accepted(&self) -> impl Iterator<Item = &(TableNumber, ContentDigest)> {
         self.accepted.iter()
     }
 
-    /// Works out the edit that turns the present rows into `wanted`.
+    /// Computes the edit that turns the current rows into `wanted`.
     pub fn diff(&self, expected: TableNumber, digest: ContentDigest, wanted: Vec<R>) -> TableEdit<R> {
         let wanted: BTreeMap<R::Key, R> = wanted.into_iter().map(|row| (row.key(), row)).collect();
         let removals = self
@@ -211,10 +212,10 @@
         }
     }
 
-    /// Returns the number that an earlier, equal write was accepted under.
+    /// Returns the number under which an earlier, identical write was accepted.
     ///
-    /// Without this a resend after a lost answer would be refused as a conflict with itself, and the operator could
-    /// not tell whether the edit is in force.
+    /// Otherwise, a resend after a lost answer would conflict with the original write, and the operator could not tell
+    /// whether the edit is in force.
     pub fn find_resend(&self, expected: TableNumber, digest: &ContentDigest) -> Option<TableNumber> {
         let number = expected.next();
         let resent = self
@@ -228,7 +229,7 @@
     ///
     /// # Errors
     ///
-    /// Refuses an edit that was made against any number but the present one, unless it is a resend.
+    /// Returns an error if the edit is not based on the current number, unless it is a resend of an accepted edit.
     pub fn apply(&mut self, edit: &TableEdit<R>) -> Result<TableNumber, TableConflict> {
         if let Some(number) = self.find_resend(edit.expected, &edit.digest) {
             return Ok(number);
@@ -245,7 +246,7 @@
         Ok(self.number)
     }
 
-    /// Takes over a difference that another copy of the table has accepted under `number`.
+    /// Applies a difference that another copy of the table has accepted under `number`.
     pub fn apply_accepted(&mut self, number: TableNumber, upserts: &[R], removals: &[R::Key]) {
         self.number = number;
         self.merge(upserts, removals);
