--- a/crates/acaciabay/src/core/usage.rs
+++ b/crates/acaciabay/src/core/usage.rs
@@ -1,23 +1,23 @@
-//! Usage: what each customer consumed, counted once however often it is reported.
+//! Usage accounting, which counts each report once, however often it is sent.
 
 use std::collections::BTreeMap;
 
 use crate::core::member::EntryIncarnation;
 use crate::core::name::CustomerName;
 
-/// Tokens and calls that one customer consumed.
+/// The tokens and calls that a customer has consumed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct UsageFigures {
-    /// Tokens of prompts.
+    /// The number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Tokens generated.
+    /// The number of generated tokens.
     pub output_tokens: u64,
-    /// Calls of plain services.
+    /// The number of calls of plain services.
     pub calls: u64,
 }
 
 impl UsageFigures {
-    /// Adds other figures to these.
+    /// Adds other figures to these figures.
     pub const fn add(&mut self, other: &Self) {
         self.prompt_tokens += other.prompt_tokens;
         self.output_tokens += other.output_tokens;
@@ -25,21 +25,21 @@
     }
 }
 
-/// One report of one entry process.
+/// A usage report of an entry process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UsageReport {
-    /// The entry process that reports.
+    /// The entry process that sent the report.
     pub incarnation: EntryIncarnation,
-    /// The process's own number for the report; numbers rise by one from 1.
+    /// The number of the report, assigned by the process. Numbers start at 1 and increase by one.
     pub sequence: u64,
-    /// The figures since the report before.
+    /// The figures since the previous report.
     pub rows: Vec<(CustomerName, UsageFigures)>,
 }
 
-/// A window whose figures are fixed, in the form in which it goes to the platform.
+/// A sealed usage window, in the form in which it is sent to the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UsageWindow {
-    /// The window's number; numbers rise by one from 1.
+    /// The number of the window. Numbers start at 1 and increase by one.
     pub window: u64,
     /// The figures of each customer.
     pub rows: Vec<(CustomerName, UsageFigures)>,
@@ -47,7 +47,7 @@
     pub acknowledged: bool,
 }
 
-/// The open window, and the sealed ones that the platform has not acknowledged yet.
+/// The open window, and the sealed windows that the platform has not acknowledged yet.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct UsageTable {
     counted: BTreeMap<EntryIncarnation, u64>,
@@ -62,13 +62,13 @@
 pub struct UsageParts {
     /// The highest report number counted for each entry process.
     pub counted: BTreeMap<EntryIncarnation, u64>,
-    /// The figures that no window contains yet.
+    /// The figures that are not part of a sealed window yet.
     pub open: BTreeMap<CustomerName, UsageFigures>,
-    /// The figures of all time.
+    /// The total figures of all time.
     pub total: BTreeMap<CustomerName, UsageFigures>,
     /// The windows that the platform has not acknowledged.
     pub sealed: Vec<UsageWindow>,
-    /// The number of the window sealed last.
+    /// The number of the last sealed window.
     pub last_window: u64,
 }
 
@@ -102,9 +102,10 @@
         }
     }
 
-    /// Counts a report unless it was counted before, and tells whether it was new.
+    /// Counts a report unless it was counted before, and returns true if it was counted now.
     ///
-    /// Entries report in order and wait for each answer, so that the highest number counted tells all that were.
+    /// Entries send their reports in order and wait for each answer, so the highest counted number identifies all
+    /// reports that were counted.
     pub fn count(&mut self, report: &UsageReport) -> bool {
         let counted = self.counted.entry(report.incarnation).or_default();
         if report.sequence <= *counted {
@@ -118,10 +119,10 @@
         true
     }
 
-    /// Fixes the open figures as the next window; the figures of later reports go into the one after.
+    /// Seals the open figures as the next window. Figures of later reports belong to the window after it.
     ///
-    /// A window without figures is not sealed. Sealing names the expected number, so that a leader that sends the
-    /// same intent twice does not seal two windows.
+    /// A window without figures is not sealed. The caller passes the expected number, so that a leader that proposes
+    /// the same command twice does not seal two windows.
     pub fn seal(&mut self, window: u64) -> Option<&UsageWindow> {
         if window != self.last_window + 1 || self.open.is_empty() {
             return None;
@@ -136,7 +137,7 @@
         self.sealed.last()
     }
 
-    /// Drops a window that the platform has acknowledged.
+    /// Removes a window that the platform has acknowledged.
     pub fn acknowledge(&mut self, window: u64) {
         self.sealed.retain(|sealed| sealed.window != window);
     }
@@ -146,12 +147,12 @@
         &self.sealed
     }
 
-    /// Returns the number of the window sealed last.
+    /// Returns the number of the last sealed window.
     pub const fn last_window(&self) -> u64 {
         self.last_window
     }
 
-    /// Returns the figures of all time for each customer.
+    /// Returns the total figures of all time for each customer.
     pub fn totals(&self) -> impl Iterator<Item = (&CustomerName, &UsageFigures)> {
         self.total.iter()
     }
