--- a/crates/acaciabay/tests/naive/claims.rs
+++ b/crates/acaciabay/tests/naive/claims.rs
@@ -47,7 +47,7 @@
                 Step::Take { key, holder, content } => {
                     let digest = ContentDigest::of([content]);
                     let outcome = table.take(WallTime::from_secs(1), &claim_key(key), holder_of(holder), digest);
-                    let right = match naive.get(&key) {
+                    let expected = match naive.get(&key) {
                         None => {
                             naive.insert(key, (holder, content, ClaimOutcome::Running));
                             ClaimOutcome::Granted
@@ -56,19 +56,19 @@
                         Some((own, _, ClaimOutcome::Running)) if *own == holder => ClaimOutcome::Granted,
                         Some((_, _, state)) => state.clone(),
                     };
-                    prop_assert_eq!(outcome, right);
+                    prop_assert_eq!(outcome, expected);
                 }
                 Step::Finish { key, holder } => {
                     table.finish(&claim_key(key), holder_of(holder), answer.clone());
-                    end(&mut naive, key, holder, Some(ClaimOutcome::Answered(answer.clone())));
+                    end_claim(&mut naive, key, holder, Some(ClaimOutcome::Answered(answer.clone())));
                 }
                 Step::Lose { key, holder } => {
                     table.mark_unknown(&claim_key(key), holder_of(holder));
-                    end(&mut naive, key, holder, Some(ClaimOutcome::Unknown));
+                    end_claim(&mut naive, key, holder, Some(ClaimOutcome::Unknown));
                 }
                 Step::Release { key, holder } => {
                     table.release(&claim_key(key), holder_of(holder));
-                    end(&mut naive, key, holder, None);
+                    end_claim(&mut naive, key, holder, None);
                 }
             }
         }
@@ -76,7 +76,12 @@
     });
 }
 
-fn end(naive: &mut BTreeMap<usize, (u64, u8, ClaimOutcome)>, key: usize, holder: u64, outcome: Option<ClaimOutcome>) {
+fn end_claim(
+    naive: &mut BTreeMap<usize, (u64, u8, ClaimOutcome)>,
+    key: usize,
+    holder: u64,
+    outcome: Option<ClaimOutcome>,
+) {
     let Some(row) = naive
         .get_mut(&key)
         .filter(|row| row.0 == holder && row.2 == ClaimOutcome::Running)
--- a/crates/acaciabay/tests/naive/orders.rs
+++ b/crates/acaciabay/tests/naive/orders.rs
@@ -23,7 +23,7 @@
                 .intend(&name, EndpointIncarnation(incarnation), &target)
                 .map(|order| order.0)
                 .ok();
-            let right = match naive.get(&number) {
+            let expected = match naive.get(&number) {
                 Some((order, other, own)) if (*other, *own) == (drains, incarnation) => Some(*order),
                 Some(_) => None,
                 None => {
@@ -32,7 +32,7 @@
                     Some(last)
                 }
             };
-            prop_assert_eq!(taken, right);
+            prop_assert_eq!(taken, expected);
             if let Some((order, ..)) = naive.get(&number).copied().filter(|_| settles) {
                 table.settle(&name, acaciabay::core::order::OrderNumber(order));
                 naive.remove(&number);
--- a/crates/acaciabay/tests/naive/placement.rs
+++ b/crates/acaciabay/tests/naive/placement.rs
@@ -85,8 +85,8 @@
             !drains && u128::from(age) * 1_000 < REPORT_TIMEOUT.as_millis() && !tried.contains(&name(*number))
         };
         let allowed: Vec<usize> = (0..rows.len()).filter(takes_work).collect();
-        let roomy: Vec<usize> = allowed.iter().copied().filter(|number| load(*number) < 10).collect();
-        let allowed = if roomy.is_empty() { allowed } else { roomy };
+        let with_room: Vec<usize> = allowed.iter().copied().filter(|number| load(*number) < 10).collect();
+        let allowed = if with_room.is_empty() { allowed } else { with_room };
         let Some((picked, _)) = picked else {
             prop_assert!(allowed.is_empty(), "nothing was picked although {:?} may be", allowed);
             return Ok(());
--- a/crates/acaciabay/tests/naive/queue.rs
+++ b/crates/acaciabay/tests/naive/queue.rs
@@ -23,9 +23,9 @@
             queue.push(&customer(who), RequestCost { pieces: 1, tokens });
             for _ in 0..pops {
                 naive.sort_by(|first, second| first.0.total_cmp(&second.0).then(first.1.cmp(&second.1)));
-                let right = (!naive.is_empty()).then(|| naive.remove(0));
-                virtual_time = right.map_or(virtual_time, |(start, _)| virtual_time.max(start));
-                prop_assert_eq!(queue.pop(), right.map(|(_, number)| TicketNumber(number)));
+                let expected = (!naive.is_empty()).then(|| naive.remove(0));
+                virtual_time = expected.map_or(virtual_time, |(start, _)| virtual_time.max(start));
+                prop_assert_eq!(queue.pop(), expected.map(|(_, number)| TicketNumber(number)));
             }
         }
         Ok(())
--- a/crates/acaciabay/tests/naive/shares.rs
+++ b/crates/acaciabay/tests/naive/shares.rs
@@ -73,9 +73,9 @@
         let hosts: Vec<HostName> = (0..4).map(|number| HostName::new(format!("h{number}"))).collect();
         let mut table = ShareTable::default();
         // What each entry acts under, and the answer on its way to it.
-        let mut acting = vec![(0_u32, 0_u64); 4];
-        for (entry, wanted, fate) in steps {
-            let (share, number) = acting[entry];
+        let mut current = vec![(0_u32, 0_u64); 4];
+        for (entry, wanted, delivery) in steps {
+            let (share, number) = current[entry];
             let demand = PoolDemand {
                 used: u64::from(share),
                 share,
@@ -85,11 +85,11 @@
             table.report(&pool, &hosts[entry], demand);
             let granted = table.grant(&pool, &hosts[entry], wanted, CAPACITY);
             // One answer in three is lost.
-            if fate > 0 {
-                acting[entry] = granted;
+            if delivery > 0 {
+                current[entry] = granted;
             }
-            let together: u32 = acting.iter().map(|(share, _)| share).sum();
-            prop_assert!(together <= CAPACITY, "{:?}", acting);
+            let total: u32 = current.iter().map(|(share, _)| share).sum();
+            prop_assert!(total <= CAPACITY, "{:?}", current);
         }
         Ok(())
     });
--- a/crates/acaciabay/tests/naive/tables.rs
+++ b/crates/acaciabay/tests/naive/tables.rs
@@ -26,7 +26,7 @@
                 .map_err(|conflict| conflict.current.0);
 
             let resent = naive.get(usize::try_from(expected + 1).unwrap_or(0)) == Some(&names);
-            let right = if resent {
+            let expected_result = if resent {
                 Ok(expected + 1)
             } else if expected == current {
                 naive.push(names);
@@ -34,15 +34,15 @@
             } else {
                 Err(current)
             };
-            prop_assert_eq!(accepted, right);
-            let held: BTreeSet<String> = table.rows().map(|row| row.name.to_string()).collect();
-            let listed: BTreeSet<String> = naive
+            prop_assert_eq!(accepted, expected_result);
+            let actual_names: BTreeSet<String> = table.rows().map(|row| row.name.to_string()).collect();
+            let expected_names: BTreeSet<String> = naive
                 .last()
                 .into_iter()
                 .flatten()
                 .map(|name| format!("pool-{name}"))
                 .collect();
-            prop_assert_eq!(held, listed);
+            prop_assert_eq!(actual_names, expected_names);
         }
         Ok(())
     });
