--- a/crates/acaciabay/tests/naive/claims.rs
+++ b/crates/acaciabay/tests/naive/claims.rs
@@ -1,4 +1,4 @@
-//! Claims against one map.
+//! Compares the claim table with a single map.
 
 use acaciabay::core::claim::{ClaimHolder, ClaimKey, ClaimOutcome, ClaimTable, StoredAnswer};
 use acaciabay::core::clock::WallTime;
@@ -9,7 +9,7 @@
 
 use crate::{check, customer};
 
-/// The naive claims: one map from a key to the one attempt that may run it.
+/// The reference implementation is a map from each key to the only attempt that may run its call.
 #[test]
 fn claims_let_one_attempt_run_as_one_map_does() {
     #[derive(Clone, Debug)]
--- a/crates/acaciabay/tests/naive/deltas.rs
+++ b/crates/acaciabay/tests/naive/deltas.rs
@@ -1,4 +1,4 @@
-//! Deltas against the naive way, which is to take the target as it is.
+//! Checks that a delta reconstructs its target and that its size depends on the change alone.
 
 use acaciabay::util::byte_delta::{ByteDelta, DeltaMismatch, DeltaPiece};
 use bytes::Bytes;
@@ -21,7 +21,7 @@
     )
 }
 
-/// Guards against a small change that costs the whole document, since it stands at both ends of it.
+/// Guards against a delta as large as the document when a small change affects both ends of the document.
 #[test]
 fn a_change_in_two_places_costs_what_has_changed() {
     let base = document(15, 0..4_200, 15_000);
@@ -33,7 +33,7 @@
     assert_eq!(delta.apply(&base), Ok(target));
 }
 
-/// Guards against routes that cost more than themselves when they are added in the middle of others.
+/// Guards against a delta that is much larger than the added routes when they are inserted between existing ones.
 #[test]
 fn added_routes_cost_themselves() {
     let base = document(12, 0..2_800, 15_000);
--- a/crates/acaciabay/tests/naive/main.rs
+++ b/crates/acaciabay/tests/naive/main.rs
@@ -1,4 +1,5 @@
-//! Deciding code beside versions that are slow and obviously right, over inputs drawn from a fixed seed.
+//! Property tests that compare decision code with slow but simple reference implementations, on inputs generated from a
+//! fixed seed.
 
 mod claims;
 mod deltas;
--- a/crates/acaciabay/tests/naive/orders.rs
+++ b/crates/acaciabay/tests/naive/orders.rs
@@ -1,4 +1,4 @@
-//! Orders against one target for each endpoint.
+//! Compares the order table with a map that holds one unsettled order per endpoint.
 
 use acaciabay::core::endpoint::EndpointIncarnation;
 use acaciabay::core::name::EndpointName;
@@ -8,7 +8,7 @@
 
 use crate::check;
 
-/// The naive orders: at most one unsettled target for each endpoint, numbers rising.
+/// The reference implementation holds at most one unsettled order for each endpoint and assigns increasing numbers.
 #[test]
 fn orders_hold_one_unsettled_target_for_each_endpoint() {
     let step = (0..3_usize, any::<bool>(), 0..2_u64, any::<bool>());
--- a/crates/acaciabay/tests/naive/placement.rs
+++ b/crates/acaciabay/tests/naive/placement.rs
@@ -1,4 +1,4 @@
-//! Placement against a full scan.
+//! Compares placement with a full scan of all endpoints.
 
 use acaciabay::core::clock::BootTime;
 use acaciabay::core::endpoint::{
--- a/crates/acaciabay/tests/naive/queue.rs
+++ b/crates/acaciabay/tests/naive/queue.rs
@@ -1,4 +1,4 @@
-//! The fair queue against a sort.
+//! Compares the fair queue with a sorted list.
 
 use acaciabay::core::fair_queue::{FairQueue, RequestCost, TicketNumber};
 use proptest::prelude::*;
@@ -6,7 +6,7 @@
 
 use crate::{check, customer};
 
-/// The naive fair queue: all waiting requests sorted by their start tags, worked out anew from the whole history.
+/// The reference implementation keeps all waiting requests in one list, which it sorts by start tag before each pop.
 #[test]
 fn fair_queue_serves_in_the_order_of_a_sort() {
     let request = (0..4_usize, 1..50_u64, 0..3_u8);
@@ -32,7 +32,8 @@
     });
 }
 
-/// A small customer sends one request while a large one has a thousand waiting; it must be next but one at the latest.
+/// Guards against starvation: a customer sends a single request while another one has about a thousand requests
+/// waiting. The single request must be served first or second.
 #[test]
 fn single_request_does_not_wait_behind_another_customers_backlog() {
     let mut queue = FairQueue::default();
--- a/crates/acaciabay/tests/naive/shares.rs
+++ b/crates/acaciabay/tests/naive/shares.rs
@@ -1,4 +1,4 @@
-//! The division of pools against handing out piece by piece.
+//! Compares the division of a pool with handing out its capacity in small steps.
 
 use acaciabay::core::name::{CustomerName, HostName, PoolName};
 use acaciabay::core::share_table::{PoolDemand, ShareTable};
@@ -20,7 +20,8 @@
     }
 }
 
-/// The naive division: pieces are handed out one hundredth at a time to whichever customer has least and wants more.
+/// The reference implementation hands out hundredths of a piece, each one to the customer that has the least and wants
+/// more.
 #[test]
 fn pool_is_divided_as_if_piece_by_piece_to_the_neediest() {
     check(200, &demands_strategy(), |(capacity, entries)| {
@@ -62,8 +63,8 @@
     });
 }
 
-/// Grants and confirmations come late, out of step, or not at all. What all entries together believe to have must never
-/// exceed the pool, or two busy entries would overfill an engine.
+/// Guards against grants that exceed the pool when answers are lost and entries keep using an old grant. The sum of the
+/// shares that all entries use must never exceed the capacity, or busy entries would together overload an engine.
 #[test]
 fn grants_together_never_exceed_the_pool() {
     let step = (0..4_usize, 0..120_u32, 0..3_u8);
@@ -72,7 +73,7 @@
         let pool = PoolName::new("p");
         let hosts: Vec<HostName> = (0..4).map(|number| HostName::new(format!("h{number}"))).collect();
         let mut table = ShareTable::default();
-        // What each entry acts under, and the answer on its way to it.
+        // The share that each entry uses, and the number of its grant.
         let mut current = vec![(0_u32, 0_u64); 4];
         for (entry, wanted, delivery) in steps {
             let (share, number) = current[entry];
@@ -84,7 +85,7 @@
             };
             table.report(&pool, &hosts[entry], demand);
             let granted = table.grant(&pool, &hosts[entry], wanted, CAPACITY);
-            // One answer in three is lost.
+            // One third of the answers are lost.
             if delivery > 0 {
                 current[entry] = granted;
             }
--- a/crates/acaciabay/tests/naive/tables.rs
+++ b/crates/acaciabay/tests/naive/tables.rs
@@ -1,4 +1,4 @@
-//! Tables against one number for each content.
+//! Compares numbered tables with a list of all accepted contents.
 
 use acaciabay::core::table::{PoolRow, PoolTable, TableEdit, TableNumber};
 use acaciabay::util::digest::ContentDigest;
@@ -7,7 +7,7 @@
 
 use crate::{check, pool_row};
 
-/// The naive table: every accepted content under its number, from the first on.
+/// The reference implementation is a list of all accepted contents, indexed by table number.
 #[test]
 fn tables_accept_what_one_number_for_each_content_accepts() {
     let writes = prop::collection::vec((0..4_u64, prop::collection::btree_set(0..4_usize, 0..4)), 1..30);
@@ -48,7 +48,7 @@
     });
 }
 
-/// A follower that gets each accepted difference, in order, holds the same rows.
+/// A copy to which all accepted edits are applied in order must contain the same rows as the table.
 #[test]
 fn followers_of_a_table_hold_the_same_rows() {
     let writes = prop::collection::vec(prop::collection::btree_map(0..6_usize, 0..3_usize, 0..5), 1..20);
--- a/crates/acaciabay/tests/naive/usage.rs
+++ b/crates/acaciabay/tests/naive/usage.rs
@@ -1,4 +1,4 @@
-//! Usage against a sum.
+//! Compares usage accounting with a plain sum.
 
 use acaciabay::core::member::EntryIncarnation;
 use acaciabay::core::usage::{UsageFigures, UsageReport, UsageTable};
@@ -7,7 +7,8 @@
 
 use crate::{check, customer};
 
-/// The naive usage: a sum over the reports with different numbers. Windows and what is open together are that sum.
+/// The reference implementation adds up the reports with distinct numbers. The sealed windows and the open figures
+/// together must equal that sum.
 #[test]
 fn usage_is_the_sum_of_reports_with_different_numbers() {
     let step = (0..3_u64, 0..3_u64, 0..3_usize, 1..100_u64, any::<bool>());
@@ -16,7 +17,7 @@
         let mut next = BTreeMap::new();
         let (mut sum, mut billed) = (0, 0);
         for (entry, repeat, who, tokens, seal) in steps {
-            // An entry sends its reports in order, each of them once or more.
+            // An entry sends its reports in order, each one at least once.
             let sequence = next.entry(entry).or_insert(0_u64);
             *sequence += u64::from(repeat > 0);
             let figures = UsageFigures {
