--- a/crates/acaciabay/tests/naive/claims.rs
+++ b/crates/acaciabay/tests/naive/claims.rs
@@ -11,7 +11,7 @@
 
 /// The reference implementation is a map from each key to the only attempt that may run its call.
 #[test]
-fn claims_let_one_attempt_run_as_one_map_does() {
+fn claim_table_matches_a_map() {
     #[derive(Clone, Debug)]
     enum Step {
         Take { key: usize, holder: u64, content: u8 },
--- a/crates/acaciabay/tests/naive/deltas.rs
+++ b/crates/acaciabay/tests/naive/deltas.rs
@@ -23,7 +23,7 @@
 
 /// Guards against a delta as large as the document when a small change affects both ends of the document.
 #[test]
-fn a_change_in_two_places_costs_what_has_changed() {
+fn delta_for_small_changes_at_both_ends_is_small() {
     let base = document(15, 0..4_200, 15_000);
     let target = document(17, 0..4_200, 16_000);
 
@@ -35,7 +35,7 @@
 
 /// Guards against a delta that is much larger than the added routes when they are inserted between existing ones.
 #[test]
-fn added_routes_cost_themselves() {
+fn delta_for_added_routes_is_about_as_large_as_they_are() {
     let base = document(12, 0..2_800, 15_000);
     let added = document(15, (0..1_000).chain(5_000..6_400).chain(1_000..2_800), 15_000);
 
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_delta_for_another_base_is_refused() {
+fn delta_for_another_base_or_with_a_huge_target_is_rejected() {
     let kept = |start, length| ByteDelta::from_pieces(vec![DeltaPiece::Kept { start, length }]);
 
     assert_eq!(kept(2, 3).apply(b"four"), Err(DeltaMismatch));
@@ -67,7 +67,7 @@
 
 proptest! {
     #[test]
-    fn deltas_give_the_target(
+    fn deltas_reconstruct_the_target(
         words in prop::collection::vec(0..40_u32, 0..400),
         picks in prop::collection::vec((0..400_usize, 0..60_usize, 0..40_u32), 0..30),
     ) {
@@ -85,7 +85,7 @@
     }
 
     #[test]
-    fn deltas_of_any_bytes_give_the_target(base in any::<Vec<u8>>(), target in any::<Vec<u8>>()) {
+    fn deltas_of_arbitrary_bytes_reconstruct_the_target(base in any::<Vec<u8>>(), target in any::<Vec<u8>>()) {
         let target = Bytes::from(target);
 
         let delta = ByteDelta::between(&base, &target);
--- a/crates/acaciabay/tests/naive/orders.rs
+++ b/crates/acaciabay/tests/naive/orders.rs
@@ -10,7 +10,7 @@
 
 /// The reference implementation holds at most one unsettled order for each endpoint and assigns increasing numbers.
 #[test]
-fn orders_hold_one_unsettled_target_for_each_endpoint() {
+fn at_most_one_order_per_endpoint_is_unsettled() {
     let step = (0..3_usize, any::<bool>(), 0..2_u64, any::<bool>());
     check(500, &prop::collection::vec(step, 1..50), |steps| {
         let mut table = OrderTable::default();
--- a/crates/acaciabay/tests/naive/placement.rs
+++ b/crates/acaciabay/tests/naive/placement.rs
@@ -32,7 +32,7 @@
 /// The naive placement scans everything with perfect knowledge: whoever is picked takes work, is not tried yet, and has
 /// room if anyone has; without a prefix, the pick is never the fullest of several.
 #[test]
-fn placement_picks_only_what_a_full_scan_allows() {
+fn placement_picks_only_endpoints_that_a_full_scan_allows() {
     let row = (0..12_u32, 0..4_u64, any::<bool>(), 0..6_u32);
     let all = (
         prop::collection::vec(row, 0..8),
--- a/crates/acaciabay/tests/naive/queue.rs
+++ b/crates/acaciabay/tests/naive/queue.rs
@@ -8,7 +8,7 @@
 
 /// The reference implementation keeps all waiting requests in one list, which it sorts by start tag before each pop.
 #[test]
-fn fair_queue_serves_in_the_order_of_a_sort() {
+fn fair_queue_serves_in_order_of_start_tags() {
     let request = (0..4_usize, 1..50_u64, 0..3_u8);
     check(500, &prop::collection::vec(request, 1..60), |requests| {
         let mut queue = FairQueue::default();
--- a/crates/acaciabay/tests/naive/shares.rs
+++ b/crates/acaciabay/tests/naive/shares.rs
@@ -23,7 +23,7 @@
 /// The reference implementation hands out hundredths of a piece, each one to the customer that has the least and wants
 /// more.
 #[test]
-fn pool_is_divided_as_if_piece_by_piece_to_the_neediest() {
+fn pool_division_matches_handing_out_small_steps() {
     check(200, &demands_strategy(), |(capacity, entries)| {
         let demands: Vec<PoolDemand> = entries.iter().map(|rows| demand_of(rows)).collect();
         let hosts: Vec<HostName> = (0..demands.len())
@@ -66,7 +66,7 @@
 /// Guards against grants that exceed the pool when answers are lost and entries keep using an old grant. The sum of the
 /// shares that all entries use must never exceed the capacity, or busy entries would together overload an engine.
 #[test]
-fn grants_together_never_exceed_the_pool() {
+fn sum_of_grants_never_exceeds_the_pool() {
     let step = (0..4_usize, 0..120_u32, 0..3_u8);
     check(1_000, &prop::collection::vec(step, 1..80), |steps| {
         const CAPACITY: u32 = 100;
--- a/crates/acaciabay/tests/naive/tables.rs
+++ b/crates/acaciabay/tests/naive/tables.rs
@@ -9,7 +9,7 @@
 
 /// The reference implementation is a list of all accepted contents, indexed by table number.
 #[test]
-fn tables_accept_what_one_number_for_each_content_accepts() {
+fn table_accepts_the_same_edits_as_a_list_of_contents() {
     let writes = prop::collection::vec((0..4_u64, prop::collection::btree_set(0..4_usize, 0..4)), 1..30);
     check(500, &writes, |writes| {
         let (mut table, mut naive) = (PoolTable::default(), vec![BTreeSet::new()]);
@@ -50,10 +50,10 @@
 
 /// A copy to which all accepted edits are applied in order must contain the same rows as the table.
 #[test]
-fn followers_of_a_table_hold_the_same_rows() {
+fn copy_of_a_table_contains_the_same_rows() {
     let writes = prop::collection::vec(prop::collection::btree_map(0..6_usize, 0..3_usize, 0..5), 1..20);
     check(300, &writes, |writes| {
-        let (mut table, mut follower) = (PoolTable::default(), PoolTable::default());
+        let (mut table, mut copy) = (PoolTable::default(), PoolTable::default());
         for (number, rows) in (0..).zip(writes) {
             let wanted: Vec<PoolRow> = rows
                 .iter()
@@ -62,8 +62,8 @@
             let edit: TableEdit<PoolRow> =
                 table.diff(TableNumber(number), ContentDigest::of(number.to_be_bytes()), wanted);
             let number = table.apply(&edit).expect("the edit names the present number");
-            follower.apply_accepted(number, &edit.upserts, &edit.removals);
-            prop_assert!(table.rows().eq(follower.rows()));
+            copy.apply_accepted(number, &edit.upserts, &edit.removals);
+            prop_assert!(table.rows().eq(copy.rows()));
         }
         Ok(())
     });
