--- a/crates/acacia-wire/src/control_state.rs
+++ b/crates/acacia-wire/src/control_state.rs
@@ -12,7 +12,7 @@
 use acaciabay::core::name::{CustomerName, EndpointName, HostName};
 use acaciabay::core::order::{OrderNumber, OrderRow, OrderTable};
 use acaciabay::core::table::{PoolTable, RouteTable, TableNumber};
-use acaciabay::core::usage::{UsageFigures, UsageParts, UsageTable, UsageWindow};
+use acaciabay::core::usage::{UsageFigures, UsageSnapshot, UsageTable, UsageWindow};
 use bytes::Bytes;
 use prost::Message;
 
@@ -202,7 +202,7 @@
 }
 
 fn usage_table_to_wire(usage: &UsageTable) -> state::UsageTable {
-    let parts = usage.parts();
+    let parts = usage.snapshot();
     state::UsageTable {
         counted: parts.counted.iter().map(counted_to_wire).collect(),
         open: parts.open.iter().map(usage_to_wire).collect(),
@@ -221,7 +221,7 @@
     let figures = |rows: Vec<state::UsageRow>| -> BTreeMap<CustomerName, UsageFigures> {
         rows.iter().map(usage_from_wire).collect()
     };
-    UsageTable::restore(UsageParts {
+    UsageTable::restore(UsageSnapshot {
         counted,
         open: figures(message.open),
         total: figures(message.total),
--- a/crates/acaciabay/src/core/usage.rs
+++ b/crates/acaciabay/src/core/usage.rs
@@ -59,7 +59,7 @@
 
 /// The parts of a [`UsageTable`], for snapshots.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct UsageParts {
+pub struct UsageSnapshot {
     /// The highest report number counted for each entry process.
     pub counted: BTreeMap<EntryIncarnation, u64>,
     /// The figures that are not part of a sealed window yet.
@@ -74,14 +74,14 @@
 
 impl UsageTable {
     /// Rebuilds the table from a snapshot.
-    pub fn restore(parts: UsageParts) -> Self {
-        let UsageParts {
+    pub fn restore(snapshot: UsageSnapshot) -> Self {
+        let UsageSnapshot {
             counted,
             open,
             total,
             sealed,
             last_window,
-        } = parts;
+        } = snapshot;
         Self {
             counted,
             open,
@@ -92,8 +92,8 @@
     }
 
     /// Copies the table for a snapshot.
-    pub fn parts(&self) -> UsageParts {
-        UsageParts {
+    pub fn snapshot(&self) -> UsageSnapshot {
+        UsageSnapshot {
             counted: self.counted.clone(),
             open: self.open.clone(),
             total: self.total.clone(),
