--- a/crates/acaciabay/src/core/control_state.rs
+++ b/crates/acaciabay/src/core/control_state.rs
@@ -260,27 +260,27 @@
     }
 
     fn join_entry(&mut self, host: &HostName, domain: &DomainName, nonce: JoinNonce) -> CommandOutcome {
-        let before = self
+        let previous = self
             .entries
             .rows()
             .find(|(known, _)| *known == host)
             .map(|(_, row)| row.incarnation);
         let granted = self.entries.join(host, domain, nonce);
-        if let Some(lost) = before.filter(|incarnation| *incarnation != granted) {
-            self.claims.mark_holder_unknown(lost);
+        if let Some(ended) = previous.filter(|incarnation| *incarnation != granted) {
+            self.claims.mark_holder_unknown(ended);
         }
         CommandOutcome::Joined(granted)
     }
 
     fn remove_entry(&mut self, host: &HostName) -> CommandOutcome {
-        let lost = self
+        let removed = self
             .entries
             .rows()
             .find(|(known, _)| *known == host)
             .map(|(_, row)| row.incarnation);
         self.entries.remove(host);
-        if let Some(lost) = lost {
-            self.claims.mark_holder_unknown(lost);
+        if let Some(ended) = removed {
+            self.claims.mark_holder_unknown(ended);
         }
         CommandOutcome::Done
     }
--- a/crates/acaciabay/src/core/endpoint.rs
+++ b/crates/acaciabay/src/core/endpoint.rs
@@ -73,7 +73,7 @@
         self.state == EndpointState::Ready && now.since(self.heard_at) < REPORT_TIMEOUT
     }
 
-    fn order(&self) -> (EndpointIncarnation, u64) {
+    fn report_version(&self) -> (EndpointIncarnation, u64) {
         (self.incarnation, self.sequence)
     }
 }
@@ -91,7 +91,11 @@
     /// earlier incarnation, or with a lower number, would restore a state that the endpoint has left, for example ready
     /// after draining.
     pub fn report(&mut self, name: &EndpointName, row: EndpointRow) -> bool {
-        if self.rows.get(name).is_some_and(|known| known.order() >= row.order()) {
+        if self
+            .rows
+            .get(name)
+            .is_some_and(|known| known.report_version() >= row.report_version())
+        {
             return false;
         }
         self.rows.insert(name.clone(), row);
