--- a/crates/acaciabay/src/core/control_state.rs
+++ b/crates/acaciabay/src/core/control_state.rs
@@ -45,7 +45,7 @@
         now: WallTime,
         /// The claimed call.
         key: ClaimKey,
-        /// The attempt that holds the claim.
+        /// The attempt that takes the claim.
         holder: ClaimHolder,
         /// The digest of the call.
         digest: ContentDigest,
@@ -110,7 +110,7 @@
     Conflict(TableConflict),
     /// A key was issued or withdrawn; `changed` is false if the command had no effect.
     Key {
-        /// Whether the command changed anything.
+        /// True if the command changed anything.
         changed: bool,
         /// The version of the configuration after the command.
         version: ConfigVersion,
--- a/crates/acaciabay/src/core/endpoint_changes.rs
+++ b/crates/acaciabay/src/core/endpoint_changes.rs
@@ -110,8 +110,8 @@
         self.revision
     }
 
-    /// Returns the endpoints that an entry hears of and that have reported after `revision`; one of another leader's
-    /// count yields all.
+    /// Returns the endpoints that an entry subscribes to and that have reported after `revision`; one of another
+    /// leader's count yields all.
     pub fn since(&self, host: &HostName, revision: u64) -> impl Iterator<Item = (&EndpointName, &EndpointRow)> {
         let revision = if revision > self.revision { 0 } else { revision };
         let index = if self.subsets.is_full_mesh() {
--- a/crates/acaciabay/src/core/share_table.rs
+++ b/crates/acaciabay/src/core/share_table.rs
@@ -1,4 +1,5 @@
-//! The share of each pool that the leader has granted to each entry. The grants of a pool never exceed its capacity.
+//! The share of each pool that the leader has granted to each entry, recorded so that all grants of a pool together
+//! never exceed its capacity.
 //!
 //! An entry may still use its old grant after the leader has lowered it, because the answer that lowers it can be
 //! delayed or lost. Each entry therefore sends back the number of its current grant, and until it has confirmed the
--- a/crates/acaciabay/src/core/usage.rs
+++ b/crates/acaciabay/src/core/usage.rs
@@ -43,7 +43,7 @@
     pub window: u64,
     /// The figures of each customer.
     pub rows: Vec<(CustomerName, UsageFigures)>,
-    /// Whether the platform has acknowledged the window.
+    /// True if the platform has acknowledged the window.
     pub acknowledged: bool,
 }
 
@@ -57,7 +57,7 @@
     last_window: u64,
 }
 
-/// The parts of a [`UsageTable`], for snapshots.
+/// The contents of a [`UsageTable`], for snapshots.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct UsageSnapshot {
     /// The highest report number counted for each entry process.
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Copies the table for a snapshot.
+    /// Returns a copy of the table's contents, for a snapshot.
     pub fn snapshot(&self) -> UsageSnapshot {
         UsageSnapshot {
             counted: self.counted.clone(),
