--- a/crates/acacia-entry/src/completion.rs
+++ b/crates/acacia-entry/src/completion.rs
@@ -7,7 +7,7 @@
 use acacia_runtime::clock::boot_now;
 use acacia_runtime::event;
 use acacia_runtime::trace::{ActiveSpan, TRACEPARENT, TraceContext};
-use acaciabay::core::attempt::{AttemptState, AttemptVerdict};
+use acaciabay::core::attempt::{AttemptState, ExecutionStatus};
 use acaciabay::core::clock::BootTime;
 use acaciabay::core::endpoint::EndpointRow;
 use acaciabay::core::name::EndpointName;
@@ -147,7 +147,7 @@
         format!("cmpl-{}", self.caller.id)
     }
 
-    fn verdict(&self) -> AttemptVerdict {
+    fn verdict(&self) -> ExecutionStatus {
         let state = if self.next_offset > 0 {
             AttemptState::Started
         } else if self.maybe_run {
@@ -155,7 +155,7 @@
         } else {
             AttemptState::Unsent
         };
-        state.verdict()
+        state.execution_status()
     }
 
     /// Returns the next token, or the usage of the whole answer, through as many attempts as that takes.
@@ -247,7 +247,7 @@
     }
 
     fn end_attempt(&self, attempt: OpenAttempt) {
-        self.entry.retries.lock().earn();
+        self.entry.retries.lock().deposit();
         let entry = Arc::clone(&self.entry);
         tokio::spawn(async move {
             let OpenAttempt {
@@ -318,7 +318,7 @@
     fn count_attempt(&mut self) -> Result<(), CallerRefusal> {
         self.attempts += 1;
         let is_retry = self.attempts > 1;
-        if self.attempts > MOST_ATTEMPTS || (is_retry && !self.entry.retries.lock().spend()) {
+        if self.attempts > MOST_ATTEMPTS || (is_retry && !self.entry.retries.lock().try_withdraw()) {
             return Err(CallerRefusal::endpoints_failed(self.verdict()));
         }
         Ok(())
--- a/crates/acacia-entry/src/service_call.rs
+++ b/crates/acacia-entry/src/service_call.rs
@@ -9,7 +9,7 @@
 use acacia_runtime::trace::{TRACEPARENT, TraceContext};
 use acacia_wire::{ClaimRequest, EntryAnswer, EntryCall};
 use acaciabay::core::attempt::AttemptState;
-use acaciabay::core::claim::{ClaimHolder, ClaimKey, ClaimOutcome, LARGEST_STORED_ANSWER, StoredAnswer};
+use acaciabay::core::claim::{ClaimHolder, ClaimKey, ClaimOutcome, MAX_STORED_ANSWER_BYTES, StoredAnswer};
 use acaciabay::core::control_state::ClaimEnd;
 use acaciabay::core::endpoint::EndpointRow;
 use acaciabay::core::fair_queue::RequestCost;
@@ -118,7 +118,7 @@
     let mut tried = Vec::new();
     let mut maybe_run = false;
     for number in 1..=MOST_ATTEMPTS {
-        if number > 1 && !entry.retries.lock().spend() {
+        if number > 1 && !entry.retries.lock().try_withdraw() {
             break;
         }
         let Some((endpoint, row)) = place(entry, call, &tried) else {
@@ -126,7 +126,7 @@
         };
         match attempt(entry, call, &endpoint, &row, ConnectionChoice::Pooled).await {
             Ok(answer) => {
-                entry.retries.lock().earn();
+                entry.retries.lock().deposit();
                 bill(entry, call).await;
                 return Ok(answer);
             }
@@ -141,10 +141,10 @@
         AttemptState::Unsent
     };
     if time_left(boot_now(), call.route.deadline).is_zero() {
-        return Err(CallerRefusal::deadline_passed(state.verdict()));
+        return Err(CallerRefusal::deadline_passed(state.execution_status()));
     }
     Err(if maybe_run {
-        CallerRefusal::endpoints_failed(state.verdict())
+        CallerRefusal::endpoints_failed(state.execution_status())
     } else {
         CallerRefusal::no_endpoint()
     })
@@ -425,7 +425,7 @@
     StoredAnswer {
         status: answer.status.as_u16(),
         content_type: kind.to_owned(),
-        body: (answer.body.len() <= LARGEST_STORED_ANSWER).then(|| answer.body.clone()),
+        body: (answer.body.len() <= MAX_STORED_ANSWER_BYTES).then(|| answer.body.clone()),
     }
 }
 
--- a/crates/acaciabay/src/core/mod.rs
+++ b/crates/acaciabay/src/core/mod.rs
@@ -1,4 +1,4 @@
-//! The nouns: tables, leases, claims, endpoints and the state that the control group replicates.
+//! Data types and state: tables, leases, claims, endpoints and the state that the control group replicates.
 
 pub mod attempt;
 pub mod claim;
@@ -14,7 +14,6 @@
 pub mod member;
 pub mod name;
 pub mod order;
-pub mod pace;
 pub mod pool_admission;
 pub mod presence;
 pub mod retry_budget;
@@ -23,4 +22,5 @@
 pub mod share_table;
 pub mod subset_plan;
 pub mod table;
+pub mod token_latency;
 pub mod usage;
--- a/crates/acaciabay/src/ops/place_call.rs
+++ b/crates/acaciabay/src/ops/place_call.rs
@@ -64,7 +64,7 @@
 
 /// Returns a pseudorandom number for one call and one endpoint.
 fn drawn(draw: u64, name: &EndpointName) -> u64 {
-    rendezvous::combine(draw, rendezvous::seed(name.as_str().as_bytes()))
+    rendezvous::combine_hashes(draw, rendezvous::hash(name.as_str().as_bytes()))
 }
 
 /// Chooses the endpoint for a plain call. `draw` is a random number that spreads calls over endpoints with equal load.
--- a/crates/acaciabay/tests/naive/orders.rs
+++ b/crates/acaciabay/tests/naive/orders.rs
@@ -1,4 +1,4 @@
-//! Orders against one target for each endpoint.
+//! Compares the order table with a map that holds one unsettled order per endpoint.
 
 use acaciabay::core::endpoint::EndpointIncarnation;
 use acaciabay::core::name::EndpointName;
@@ -8,9 +8,9 @@
 
 use crate::check;
 
-/// The naive orders: at most one unsettled target for each endpoint, numbers rising.
+/// The reference implementation holds at most one unsettled order for each endpoint and assigns increasing numbers.
 #[test]
-fn orders_hold_one_unsettled_target_for_each_endpoint() {
+fn at_most_one_order_per_endpoint_is_unsettled() {
     let step = (0..3_usize, any::<bool>(), 0..2_u64, any::<bool>());
     check(500, &prop::collection::vec(step, 1..50), |steps| {
         let mut table = OrderTable::default();
@@ -23,7 +23,7 @@
                 .intend(&name, EndpointIncarnation(incarnation), &target)
                 .map(|order| order.0)
                 .ok();
-            let right = match naive.get(&number) {
+            let expected = match naive.get(&number) {
                 Some((order, other, own)) if (*other, *own) == (drains, incarnation) => Some(*order),
                 Some(_) => None,
                 None => {
@@ -32,7 +32,7 @@
                     Some(last)
                 }
             };
-            prop_assert_eq!(taken, right);
+            prop_assert_eq!(taken, expected);
             if let Some((order, ..)) = naive.get(&number).copied().filter(|_| settles) {
                 table.settle(&name, acaciabay::core::order::OrderNumber(order));
                 naive.remove(&number);
--- a/crates/acaciabay/tests/naive/placement.rs
+++ b/crates/acaciabay/tests/naive/placement.rs
@@ -1,4 +1,4 @@
-//! Placement against a full scan.
+//! Compares placement with a full scan of all endpoints.
 
 use acaciabay::core::clock::BootTime;
 use acaciabay::core::endpoint::{
@@ -32,7 +32,7 @@
 /// The naive placement scans everything with perfect knowledge: whoever is picked takes work, is not tried yet, and has
 /// room if anyone has; without a prefix, the pick is never the fullest of several.
 #[test]
-fn placement_picks_only_what_a_full_scan_allows() {
+fn placement_picks_only_endpoints_that_a_full_scan_allows() {
     let row = (0..12_u32, 0..4_u64, any::<bool>(), 0..6_u32);
     let all = (
         prop::collection::vec(row, 0..8),
@@ -85,8 +85,8 @@
             !drains && u128::from(age) * 1_000 < REPORT_TIMEOUT.as_millis() && !tried.contains(&name(*number))
         };
         let allowed: Vec<usize> = (0..rows.len()).filter(takes_work).collect();
-        let roomy: Vec<usize> = allowed.iter().copied().filter(|number| load(*number) < 10).collect();
-        let allowed = if roomy.is_empty() { allowed } else { roomy };
+        let with_room: Vec<usize> = allowed.iter().copied().filter(|number| load(*number) < 10).collect();
+        let allowed = if with_room.is_empty() { allowed } else { with_room };
         let Some((picked, _)) = picked else {
             prop_assert!(allowed.is_empty(), "nothing was picked although {:?} may be", allowed);
             return Ok(());
--- a/crates/acaciabay/tests/naive/queue.rs
+++ b/crates/acaciabay/tests/naive/queue.rs
@@ -1,4 +1,4 @@
-//! The fair queue against a sort.
+//! Compares the fair queue with a sorted list.
 
 use acaciabay::core::fair_queue::{FairQueue, RequestCost, TicketNumber};
 use proptest::prelude::*;
@@ -6,9 +6,9 @@
 
 use crate::{check, customer};
 
-/// The naive fair queue: all waiting requests sorted by their start tags, worked out anew from the whole history.
+/// The reference implementation keeps all waiting requests in one list, which it sorts by start tag before each pop.
 #[test]
-fn fair_queue_serves_in_the_order_of_a_sort() {
+fn fair_queue_serves_in_order_of_start_tags() {
     let request = (0..4_usize, 1..50_u64, 0..3_u8);
     check(500, &prop::collection::vec(request, 1..60), |requests| {
         let mut queue = FairQueue::default();
@@ -23,16 +23,17 @@
             queue.push(&customer(who), RequestCost { pieces: 1, tokens });
             for _ in 0..pops {
                 naive.sort_by(|first, second| first.0.total_cmp(&second.0).then(first.1.cmp(&second.1)));
-                let right = (!naive.is_empty()).then(|| naive.remove(0));
-                virtual_time = right.map_or(virtual_time, |(start, _)| virtual_time.max(start));
-                prop_assert_eq!(queue.pop(), right.map(|(_, number)| TicketNumber(number)));
+                let expected = (!naive.is_empty()).then(|| naive.remove(0));
+                virtual_time = expected.map_or(virtual_time, |(start, _)| virtual_time.max(start));
+                prop_assert_eq!(queue.pop(), expected.map(|(_, number)| TicketNumber(number)));
             }
         }
         Ok(())
     });
 }
 
-/// A small customer sends one request while a large one has a thousand waiting; it must be next but one at the latest.
+/// Guards against starvation: a customer sends a single request while another one has about a thousand requests
+/// waiting. The single request must be served first or second.
 #[test]
 fn single_request_does_not_wait_behind_another_customers_backlog() {
     let mut queue = FairQueue::default();
--- a/crates/acaciabay/tests/naive/tables.rs
+++ b/crates/acaciabay/tests/naive/tables.rs
@@ -1,4 +1,4 @@
-//! Tables against one number for each content.
+//! Compares numbered tables with a list of all accepted contents.
 
 use acaciabay::core::table::{PoolRow, PoolTable, TableEdit, TableNumber};
 use acaciabay::util::digest::ContentDigest;
@@ -7,9 +7,9 @@
 
 use crate::{check, pool_row};
 
-/// The naive table: every accepted content under its number, from the first on.
+/// The reference implementation is a list of all accepted contents, indexed by table number.
 #[test]
-fn tables_accept_what_one_number_for_each_content_accepts() {
+fn table_accepts_the_same_edits_as_a_list_of_contents() {
     let writes = prop::collection::vec((0..4_u64, prop::collection::btree_set(0..4_usize, 0..4)), 1..30);
     check(500, &writes, |writes| {
         let (mut table, mut naive) = (PoolTable::default(), vec![BTreeSet::new()]);
@@ -18,7 +18,7 @@
             let expected = current.saturating_sub(back);
             let wanted: Vec<PoolRow> = names.iter().map(|name| pool_row(*name, 0)).collect();
             let digest = ContentDigest::of(format!("{names:?}"));
-            let edit = table.edit_towards(TableNumber(expected), digest, wanted);
+            let edit = table.diff(TableNumber(expected), digest, wanted);
 
             let accepted = table
                 .apply(&edit)
@@ -26,7 +26,7 @@
                 .map_err(|conflict| conflict.current.0);
 
             let resent = naive.get(usize::try_from(expected + 1).unwrap_or(0)) == Some(&names);
-            let right = if resent {
+            let expected_result = if resent {
                 Ok(expected + 1)
             } else if expected == current {
                 naive.push(names);
@@ -34,36 +34,36 @@
             } else {
                 Err(current)
             };
-            prop_assert_eq!(accepted, right);
-            let held: BTreeSet<String> = table.rows().map(|row| row.name.to_string()).collect();
-            let listed: BTreeSet<String> = naive
+            prop_assert_eq!(accepted, expected_result);
+            let actual_names: BTreeSet<String> = table.rows().map(|row| row.name.to_string()).collect();
+            let expected_names: BTreeSet<String> = naive
                 .last()
                 .into_iter()
                 .flatten()
                 .map(|name| format!("pool-{name}"))
                 .collect();
-            prop_assert_eq!(held, listed);
+            prop_assert_eq!(actual_names, expected_names);
         }
         Ok(())
     });
 }
 
-/// A follower that gets each accepted difference, in order, holds the same rows.
+/// A copy to which all accepted edits are applied in order must contain the same rows as the table.
 #[test]
-fn followers_of_a_table_hold_the_same_rows() {
+fn copy_of_a_table_contains_the_same_rows() {
     let writes = prop::collection::vec(prop::collection::btree_map(0..6_usize, 0..3_usize, 0..5), 1..20);
     check(300, &writes, |writes| {
-        let (mut table, mut follower) = (PoolTable::default(), PoolTable::default());
+        let (mut table, mut copy) = (PoolTable::default(), PoolTable::default());
         for (number, rows) in (0..).zip(writes) {
             let wanted: Vec<PoolRow> = rows
                 .iter()
                 .map(|(name, endpoints)| pool_row(*name, *endpoints))
                 .collect();
             let edit: TableEdit<PoolRow> =
-                table.edit_towards(TableNumber(number), ContentDigest::of(number.to_be_bytes()), wanted);
+                table.diff(TableNumber(number), ContentDigest::of(number.to_be_bytes()), wanted);
             let number = table.apply(&edit).expect("the edit names the present number");
-            follower.follow(number, &edit.upserts, &edit.removals);
-            prop_assert!(table.rows().eq(follower.rows()));
+            copy.apply_accepted(number, &edit.upserts, &edit.removals);
+            prop_assert!(table.rows().eq(copy.rows()));
         }
         Ok(())
     });
