--- a/crates/acacia-entry/src/serving/call.rs
+++ b/crates/acacia-entry/src/serving/call.rs
@@ -128,7 +128,7 @@
     let index = shared.view().index.clone();
     let largest_head = index
         .as_ref()
-        .map_or(usize::MAX, |index| index.config().bounds.head_bytes);
+        .map_or(usize::MAX, |index| index.config().limits.head_bytes);
     let head = shared.codec.read_head(&parts, largest_head);
     let Some(index) = index.filter(|_| shared.may_serve(now)) else {
         let wait = shared.lease_outage().retry_after(now);
@@ -141,7 +141,7 @@
     if !shared.takes_calls(now) {
         return Err((Some(head), not_run("entry is stopping", SOON)));
     }
-    let bounds = index.config().bounds;
+    let bounds = index.config().limits;
     let admitted = match index.admit(&head.host, &head.path, head.key.as_deref()) {
         Ok(admitted) => admitted,
         Err(_refusal) if !shared.may_deny(now) => {
--- a/crates/acacia-entry/src/serving/start.rs
+++ b/crates/acacia-entry/src/serving/start.rs
@@ -119,7 +119,7 @@
     let Some(index) = shared.view().index.clone() else {
         return FIRST_BOUNDS;
     };
-    let bounds = index.config().bounds;
+    let bounds = index.config().limits;
     ServerBounds {
         // The exact size is checked with the head in hand, where it is answered as too large.
         head_bytes: FIRST_BOUNDS.head_bytes.max(2 * bounds.head_bytes),
--- a/crates/acacia-entry/src/serving/stream_call.rs
+++ b/crates/acacia-entry/src/serving/stream_call.rs
@@ -95,7 +95,7 @@
         let left = self.call.until.since(boot_now());
         // A stream that nobody else can continue is waited for as long as its caller may be waiting.
         if self.call.route().kind.may_repeat() && self.ran < self.call.route().max_attempts {
-            left.min(self.call.route().event_patience().mul_f64(SILENCE_PART))
+            left.min(self.call.route().event_timeout().mul_f64(SILENCE_PART))
         } else {
             left
         }
--- a/crates/acaciabay/src/core/serving/config.rs
+++ b/crates/acaciabay/src/core/serving/config.rs
@@ -81,7 +81,7 @@
     /// Returns how long a caller waits for the first event, or for the next one, before it gives up by itself.
     ///
     /// Callers leave a stream after the longest of three pauses; work for one that has left is done in vain.
-    pub fn event_patience(&self) -> Duration {
+    pub fn event_timeout(&self) -> Duration {
         const LEAST: Duration = Duration::from_secs(2);
         const TARGETS: u32 = 4;
         const GAPS: u32 = 8;
@@ -162,7 +162,7 @@
 
 /// What a caller may send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CallerBounds {
+pub struct RequestLimits {
     /// The largest request head, in bytes.
     pub head_bytes: usize,
     /// The largest request body, in bytes.
@@ -194,7 +194,7 @@
     /// The services by name.
     pub services: BTreeMap<ServiceName, ServiceSpec>,
     /// What callers may send.
-    pub bounds: CallerBounds,
+    pub limits: RequestLimits,
     /// The customers. Where there are none, no call needs a key.
     pub customers: Vec<CustomerRow>,
 }
--- a/crates/acaciabay/tests/serving/config.rs
+++ b/crates/acaciabay/tests/serving/config.rs
@@ -105,8 +105,8 @@
         ..route("r", "/a/")
     };
 
-    assert_eq!(stream.event_patience(), Duration::from_secs(4));
-    assert_eq!(route("r", "/a/").event_patience(), Duration::from_secs(2));
+    assert_eq!(stream.event_timeout(), Duration::from_secs(4));
+    assert_eq!(route("r", "/a/").event_timeout(), Duration::from_secs(2));
 }
 
 proptest! {
--- a/crates/acaciabay/tests/serving/fixtures.rs
+++ b/crates/acaciabay/tests/serving/fixtures.rs
@@ -7,7 +7,7 @@
 use acaciabay::core::clock::BootTime;
 use acaciabay::core::name::{DomainName, EndpointName};
 use acaciabay::core::serving::config::{
-    CallKind, CallRoute, CallerBounds, ConfigNumber, CustomerRow, EngineSpec, MemoryLink, PoolSpec, RouteShare,
+    CallKind, CallRoute, ConfigNumber, CustomerRow, EngineSpec, MemoryLink, PoolSpec, RequestLimits, RouteShare,
     ServiceSpec, ServingConfig,
 };
 use acaciabay::core::serving::endpoint_load::EndpointWork;
@@ -120,7 +120,7 @@
         number: ConfigNumber(1),
         routes,
         services: BTreeMap::from([("app".into(), service.clone()), ("other".into(), service)]),
-        bounds: CallerBounds {
+        limits: RequestLimits {
             head_bytes: 16_384,
             body_bytes: 1_000_000,
             head_timeout: Duration::from_secs(3),
