--- a/crates/acacia-control/src/serving/pool_orders.rs
+++ b/crates/acacia-control/src/serving/pool_orders.rs
@@ -154,7 +154,7 @@
             if before.is_some_and(|before| before.is_pending(turn.now, order.desired)) {
                 return false;
             }
-            let fresh = IssuedOrder::issue(turn.now, order.desired, pool.boot, before);
+            let fresh = IssuedOrder::issue(turn.now, order.desired, pool.boot_time, before);
             given.insert(key.clone(), fresh);
         }
         let (turn, given) = (turn.for_task(), Arc::clone(&self.given));
--- a/crates/acacia-control/src/serving/stage_orders.rs
+++ b/crates/acacia-control/src/serving/stage_orders.rs
@@ -129,7 +129,7 @@
                 "engines" => rows.len(), "makers" => makers, "wanted" => wanted,
                 "streams" => demand.streams, "held_tokens" => demand.held_tokens, "readers" => stages.readers);
             if let Some((_, endpoint)) = engines.iter().find(|(name, _)| *name == change.endpoint) {
-                self.orders.give(turn, change, endpoint, spec.switch);
+                self.orders.give(turn, change, endpoint, spec.stage_switch_time);
             }
         }
         if has_closed || !changes.is_empty() {
--- a/crates/acaciabay/src/core/serving/config.rs
+++ b/crates/acaciabay/src/core/serving/config.rs
@@ -82,11 +82,11 @@
     ///
     /// Callers leave a stream after the longest of three pauses; work for one that has left is done in vain.
     pub fn event_timeout(&self) -> Duration {
-        const LEAST: Duration = Duration::from_secs(2);
-        const TARGETS: u32 = 4;
-        const GAPS: u32 = 8;
-        let gaps = self.target_gap.unwrap_or_default() * GAPS;
-        LEAST.max(self.target_latency * TARGETS).max(gaps)
+        const MIN_TIMEOUT: Duration = Duration::from_secs(2);
+        const LATENCY_FACTOR: u32 = 4;
+        const GAP_FACTOR: u32 = 8;
+        let gaps = self.target_gap.unwrap_or_default() * GAP_FACTOR;
+        MIN_TIMEOUT.max(self.target_latency * LATENCY_FACTOR).max(gaps)
     }
 
     /// Picks the service for a call by a number that is drawn evenly from all numbers.
@@ -111,9 +111,9 @@
     /// Tokens that one engine's memory holds.
     pub memory_tokens: u64,
     /// How long an engine keeps a prompt that it has read for another engine to take.
-    pub hold: Duration,
+    pub retention: Duration,
     /// How long an engine is away when it changes its stage.
-    pub switch: Duration,
+    pub stage_switch_time: Duration,
     /// How engines copy what they have read to each other, where they can.
     pub link: Option<MemoryLink>,
 }
@@ -138,11 +138,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct PoolSpec {
     /// The least number in each failure domain.
-    pub least: u32,
+    pub min: u32,
     /// The largest number in each failure domain.
-    pub most: u32,
+    pub max: u32,
     /// How long a new endpoint takes until it serves.
-    pub boot: Duration,
+    pub boot_time: Duration,
     /// The price of a reclaimable endpoint as a part of the price of another.
     pub reclaimable_price: Option<f64>,
     /// The price of a second of one endpoint by failure domain.
--- a/crates/acaciabay/src/ops/fill_gap.rs
+++ b/crates/acaciabay/src/ops/fill_gap.rs
@@ -26,7 +26,7 @@
         .collect();
     let total: u32 = coming.values().map(|pool| pool.total()).sum();
     for _ in total.saturating_sub(endangered_endpoints(&coming, view))..view.needed_now {
-        let with_room = coming.iter_mut().filter(|(_, pool)| pool.total() < spec.most);
+        let with_room = coming.iter_mut().filter(|(_, pool)| pool.total() < spec.max);
         let Some((domain, pool)) = with_room.min_by_key(|(_, pool)| pool.total()) else {
             break;
         };
--- a/crates/acaciabay/src/ops/plan_pool.rs
+++ b/crates/acaciabay/src/ops/plan_pool.rs
@@ -44,7 +44,7 @@
     if !is_worthwhile || count < 2 {
         for (domain, lasting) in spread(spec, domains, needed) {
             let pool = DomainPool {
-                lasting: lasting.clamp(spec.least, spec.most),
+                lasting: lasting.clamp(spec.min, spec.max),
                 reclaimable: 0,
             };
             pools.insert(domain, pool);
@@ -52,14 +52,14 @@
         return pools;
     }
     let borne = round_up(f64::from(needed) * LASTING_PART / f64::from(count));
-    let lasting = u32::try_from(borne).unwrap_or(u32::MAX).clamp(1, spec.most.max(1));
+    let lasting = u32::try_from(borne).unwrap_or(u32::MAX).clamp(1, spec.max.max(1));
     let rest = needed.saturating_sub(lasting * count);
     let reclaimable = rest.div_ceil(count.saturating_sub(LOST_DOMAINS).max(1));
     for domain in domains {
-        let room = spec.most.saturating_sub(lasting);
+        let room = spec.max.saturating_sub(lasting);
         let pool = DomainPool {
             lasting,
-            reclaimable: reclaimable.max(spec.least.saturating_sub(lasting)).min(room),
+            reclaimable: reclaimable.max(spec.min.saturating_sub(lasting)).min(room),
         };
         pools.insert(domain.clone(), pool);
     }
@@ -138,7 +138,7 @@
     let lacking = lacking_endpoints(wanted, view);
     for (domain, want) in wanted {
         let have = view.present.get(domain).copied().unwrap_or_default();
-        let room = spec.most.saturating_sub(have.lasting.max(want.lasting.min(spec.most)));
+        let room = spec.max.saturating_sub(have.lasting.max(want.lasting.min(spec.max)));
         let share = if view.refused.contains(domain) {
             0
         } else {
--- a/crates/acaciabay/tests/serving/fixtures.rs
+++ b/crates/acaciabay/tests/serving/fixtures.rs
@@ -55,8 +55,8 @@
     EngineSpec {
         slots: 64,
         memory_tokens: 400_000,
-        hold: Duration::from_secs(5),
-        switch: Duration::from_secs(3),
+        retention: Duration::from_secs(5),
+        stage_switch_time: Duration::from_secs(3),
         link: Some(link()),
     }
 }
@@ -71,9 +71,9 @@
 
 pub(crate) fn pool(most: u32, reclaimable_price: Option<f64>) -> PoolSpec {
     PoolSpec {
-        least: 1,
-        most,
-        boot: Duration::from_secs(4),
+        min: 1,
+        max: most,
+        boot_time: Duration::from_secs(4),
         reclaimable_price,
         domain_prices: BTreeMap::from([("a".into(), 1.0), ("b".into(), 0.8), ("c".into(), 1.25)]),
     }
