--- a/crates/acaciabay/src/core/serving/mod.rs
+++ b/crates/acaciabay/src/core/serving/mod.rs
@@ -1,25 +1,30 @@
-//! Serving by host and path: what an operator configures as one numbered document, and what an entry knows of endpoints.
+//! Serving of calls that are routed by host and path: the configuration document that operators replace as a whole, and
+//! the state that an entry keeps about endpoints, replicas and running calls.
 //!
-//! * [`config`] is the configuration, [`config_index`] finds a call's route and customer in it; [`config_freshness`] says
-//!   whether it is the newest.
-//! * [`config_transfer`] hands configurations over a connection, [`pending_renewals`] says when an entry asks.
-//! * [`endpoint_registry`] orders what endpoints say of themselves, whichever way and however late it arrives.
-//! * [`prompt`] and [`part_memory`] say what a prompt consists of and which endpoint has read which part.
-//! * [`kept_parts`] tells all entries which engines keep which parts.
-//! * [`endpoint_load`] is the work that every endpoint still has before it.
-//! * [`answer_pace`] says after which silence an engine is doubted, [`shared_suspicion`] which ones all entries leave out.
-//! * [`event_stream`] cuts an answer into whole events.
-//! * [`stream_peak`] remembers how many streams ran at once.
-//! * [`group_clock`] is the wall clock that most replicas agree on.
-//! * [`replica_tracker`] says which replicas an entry hears, and which it asks.
-//! * [`start_counts`] counts the calls that began, by window and customer.
-//! * [`reading_pace`] says how fast engines read, [`reading_need`] how many endpoints that takes.
-//! * [`issued_order`] is what became of an order for endpoints.
-//! * [`lease_recovery`] says what becomes of calls while an entry has no lease.
-//! * [`stop_phase`] says what an entry still takes that was asked to stop.
-//! * [`retry_limiter`] bounds second sends, [`duty`] numbers who acts for the system.
+//! * [`config`] defines the configuration, [`config_index`] looks up a call's route and customer in it, and
+//!   [`config_freshness`] tracks whether it is known to be the newest.
+//! * [`config_transfer`] sends configurations over a connection as deltas, and [`pending_renewals`] tracks the lease
+//!   renewals that an entry has requested.
+//! * [`endpoint_registry`] orders the reports of endpoints, which may arrive late, repeatedly and by several paths.
+//! * [`prompt`] describes the parts of a prompt, and [`part_memory`] tracks which endpoint has read which part.
+//! * [`kept_parts`] shares among all entries which engines keep which parts.
+//! * [`endpoint_load`] tracks the outstanding work of every endpoint.
+//! * [`answer_pace`] computes after which silence an engine is suspected of having failed, and [`shared_suspicion`]
+//!   selects the suspected endpoints that all entries avoid.
+//! * [`event_stream`] splits an answer into complete events.
+//! * [`stream_peak`] tracks the recent peak of concurrent streams.
+//! * [`group_clock`] computes the median wall clock of the replicas.
+//! * [`replica_tracker`] tracks the replicas that an entry keeps sessions with, and the one that it takes for the
+//!   leader.
+//! * [`start_counts`] counts started calls by window and customer.
+//! * [`reading_pace`] estimates how fast engines read prompts, and [`reading_need`] how many endpoints a service needs
+//!   for it.
+//! * [`issued_order`] tracks the outcome of an order for endpoints.
+//! * [`lease_recovery`] determines whether a call is held or refused while an entry has no lease.
+//! * [`stop_phase`] determines whether an entry that is stopping still accepts calls.
+//! * [`retry_limiter`] limits retries, and [`duty`] numbers the successive hosts that act for the system.
 //!
-//! `docs/design/machines.md` has the programs in which these parts meet.
+//! `docs/design/machines.md` describes the programs that combine these modules.
 
 pub mod answer_pace;
 pub mod config;
--- a/crates/acaciabay/tests/serving/main.rs
+++ b/crates/acaciabay/tests/serving/main.rs
@@ -1,4 +1,5 @@
-//! Serving by host and path: each decision against what it has to come to, and against naive versions.
+//! Tests of serving by host and path. Each decision is compared with its expected result, and some with a naive
+//! implementation.
 
 mod clock;
 mod config;
