--- a/crates/acaciabay/src/core/serving/duty.rs
+++ b/crates/acaciabay/src/core/serving/duty.rs
@@ -1,12 +1,14 @@
-//! Who acts for the system towards endpoints and the platform, as a number that others can check.
+//! The host that acts for the system towards endpoints and the platform, with a fencing number that receivers can
+//! check.
 
 use crate::core::name::HostName;
 
-/// A number that rises with each holder; an order under a lower one than was seen before is void.
+/// Fencing number that increases with each assignment of the duties. An order that carries a lower number than one
+/// already seen is void.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FenceNumber(pub u64);
 
-/// The holder of all duties.
+/// Current assignment of all duties to one host.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DutyTable {
     fence: FenceNumber,
@@ -14,12 +16,12 @@
 }
 
 impl DutyTable {
-    /// Builds a table from what was stored.
+    /// Builds a table from stored values.
     pub const fn restored(fence: FenceNumber, holder: Option<HostName>) -> Self {
         Self { fence, holder }
     }
 
-    /// Gives all duties to a host and returns its number.
+    /// Assigns all duties to a host and returns the new fencing number.
     ///
     /// The number comes from the replicated log and not from the term, so that a host that takes the duties twice in
     /// one term acts under two numbers.
@@ -29,12 +31,12 @@
         self.fence
     }
 
-    /// Returns the latest number given.
+    /// Returns the number of the latest assignment.
     pub const fn fence(&self) -> FenceNumber {
         self.fence
     }
 
-    /// Returns the latest holder.
+    /// Returns the host of the latest assignment.
     pub const fn holder(&self) -> Option<&HostName> {
         self.holder.as_ref()
     }
