--- a/crates/acaciabay/src/core/serving/config.rs
+++ b/crates/acaciabay/src/core/serving/config.rs
@@ -7,26 +7,26 @@
 use crate::core::name::{CustomerName, DomainName, ServiceName};
 use crate::util::digest::ContentDigest;
 
-/// Numbers configurations; the highest number that was accepted is in force.
+/// Version number of a configuration. The highest number that was accepted is in force.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConfigNumber(pub u64);
 
-/// What may be done with a call whose outcome is open.
+/// Kind of a call, which determines whether it may be retried while its outcome is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
-    /// It may run any number of times.
+    /// May run any number of times.
     Idempotent,
-    /// It may run once at most.
+    /// May run at most once.
     AtMostOnce,
-    /// Its answer is a stream of events. Only a resumable one may go on at another endpoint.
+    /// Answers with a stream of events. Only a resumable stream may continue at another endpoint.
     Stream {
-        /// Whether another endpoint can continue after a given event.
+        /// True if another endpoint can continue after a given event.
         resumable: bool,
     },
 }
 
 impl CallKind {
-    /// Tells whether a call may be sent again although an endpoint may have begun to run it.
+    /// Returns true if a call may be sent again although an endpoint may already have started to run it.
     pub const fn may_repeat(self) -> bool {
         match self {
             Self::Idempotent => true,
@@ -35,52 +35,53 @@
         }
     }
 
-    /// Tells whether the answer is a stream of events.
+    /// Returns true if the answer is a stream of events.
     pub const fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
     }
 }
 
-/// A part of a route's calls.
+/// Share of a route's calls that goes to one service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteShare {
-    /// Where these calls go.
+    /// Service that receives these calls.
     pub service: ServiceName,
-    /// Their part relative to the weights of the other shares.
+    /// Weight of this share relative to the other shares of the route.
     pub weight: u64,
 }
 
-/// Which calls go where, and what they may cost in time and sends.
+/// Rule that sends calls for one host and path prefix to services, with their time limits and number of attempts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallRoute {
-    /// The route's name.
+    /// Name of the route.
     pub name: String,
-    /// The host that callers address.
+    /// Host that callers address.
     pub host: String,
-    /// The start of the path; it begins and ends with a slash.
+    /// Prefix of the path. It begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Kind of the calls, which determines whether they may be retried.
     pub kind: CallKind,
-    /// The longest that a caller may be kept waiting for the end of the answer.
+    /// Longest time that a caller may wait for the end of the answer.
     pub timeout: Duration,
-    /// Within which time an answer, or the first event of a stream, is on time.
+    /// Time within which an answer, or the first event of a stream, counts as on time.
     pub target_latency: Duration,
-    /// The longest pause between events that is still on time.
+    /// Longest pause between events that counts as on time.
     pub target_gap: Option<Duration>,
-    /// The rank; 0 is the most urgent.
+    /// Priority of the calls; 0 is the most urgent.
     pub priority: u8,
-    /// The services, at least one with a weight above 0.
+    /// Services that the calls are divided among. At least one has a weight above 0.
     pub shares: Vec<RouteShare>,
-    /// Most endpoints that one call may be sent to.
+    /// Maximum number of endpoints that one call may be sent to.
     pub max_attempts: u32,
-    /// Whether no key is asked for.
+    /// True if calls need no key.
     pub public: bool,
 }
 
 impl CallRoute {
-    /// Returns how long a caller waits for the first event, or for the next one, before it gives up by itself.
+    /// Returns how long a caller waits for the first or next event before it abandons the stream.
     ///
-    /// Callers leave a stream after the longest of three pauses; work for one that has left is done in vain.
+    /// Callers abandon a stream after the longest of three times: a fixed minimum, a multiple of the target latency,
+    /// and a multiple of the target gap. Work for a caller that has left is wasted.
     pub fn event_timeout(&self) -> Duration {
         const MIN_TIMEOUT: Duration = Duration::from_secs(2);
         const LATENCY_FACTOR: u32 = 4;
@@ -89,7 +90,7 @@
         MIN_TIMEOUT.max(self.target_latency * LATENCY_FACTOR).max(gaps)
     }
 
-    /// Picks the service for a call by a number that is drawn evenly from all numbers.
+    /// Selects the service for a call. `draw` must be uniformly distributed over all values of `u64`.
     pub fn pick_service(&self, draw: u64) -> Option<&ServiceName> {
         let total: u64 = self.shares.iter().map(|share| share.weight).sum();
         let mut left = draw.checked_rem(total)?;
@@ -103,108 +104,108 @@
     }
 }
 
-/// What model engines of a service can hold.
+/// Capacity and timing of a service's model engines.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineSpec {
-    /// Requests that one engine runs at once.
+    /// Number of requests that one engine runs at once.
     pub slots: u32,
-    /// Tokens that one engine's memory holds.
+    /// Capacity of one engine's KV cache, in tokens.
     pub memory_tokens: u64,
-    /// How long an engine keeps a prompt that it has read for another engine to take.
+    /// Time for which an engine keeps a prompt that it has read, so that another engine can copy it.
     pub retention: Duration,
-    /// How long an engine is away when it changes its stage.
+    /// Time for which an engine is unavailable while it changes its stage.
     pub stage_switch_time: Duration,
-    /// How engines copy what they have read to each other, where they can.
+    /// Link over which engines copy KV cache to each other, if they can.
     pub link: Option<MemoryLink>,
 }
 
-/// How fast the memory of prompts moves from one engine to another.
+/// Speed at which KV cache is copied from one engine to another.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MemoryLink {
-    /// What one token takes in memory.
+    /// Size of one token in the KV cache, in bytes.
     pub token_bytes: u64,
-    /// What an engine sends or receives in a second.
+    /// Bandwidth of one engine in either direction, in bits per second.
     pub bits_per_second: f64,
 }
 
 impl MemoryLink {
-    /// Returns how many milliseconds the memory of so many tokens is on its way within a failure domain.
+    /// Returns how many milliseconds it takes to copy the KV cache of `tokens` tokens within a failure domain.
     pub fn copy_ms(&self, tokens: f64) -> f64 {
         tokens * self.token_bytes as f64 * 8.0 * 1_000.0 / self.bits_per_second
     }
 }
 
-/// How many endpoints of a service may be ordered, and at which price.
+/// Limits and prices of the endpoints that may be ordered for a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PoolSpec {
-    /// The least number in each failure domain.
+    /// Minimum number of endpoints in each failure domain.
     pub min: u32,
-    /// The largest number in each failure domain.
+    /// Maximum number of endpoints in each failure domain.
     pub max: u32,
-    /// How long a new endpoint takes until it serves.
+    /// Time that a new endpoint takes until it serves calls.
     pub boot_time: Duration,
-    /// The price of a reclaimable endpoint as a part of the price of another.
+    /// Price of a reclaimable endpoint as a fraction of the price of a regular one.
     pub reclaimable_price: Option<f64>,
-    /// The price of a second of one endpoint by failure domain.
+    /// Price of one endpoint per second, by failure domain.
     pub domain_prices: BTreeMap<DomainName, f64>,
 }
 
-/// What is known of a service.
+/// Configuration of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceSpec {
-    /// Connections that one of its endpoints takes from all callers together.
+    /// Maximum number of connections that one endpoint accepts from all callers together.
     pub max_connections: u32,
-    /// Its engines, where it runs models.
+    /// Engine parameters, if the service runs models.
     pub engine: Option<EngineSpec>,
-    /// What may be ordered, where the platform lets endpoints be ordered.
+    /// Ordering limits, if the platform allows endpoints of this service to be ordered.
     pub pool: Option<PoolSpec>,
 }
 
-/// What a caller may send.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestLimits {
-    /// The largest request head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head_bytes: usize,
-    /// The largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// How long a caller may take to send a request.
+    /// Longest time that a caller may take to send a request.
     pub head_timeout: Duration,
-    /// How long a connection may stay unused.
+    /// Longest time that a connection may stay idle.
     pub idle_timeout: Duration,
 }
 
-/// A customer with its keys.
+/// Customer with its keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CustomerRow {
-    /// The customer.
+    /// Name of the customer.
     pub name: CustomerName,
-    /// The digests of its keys.
+    /// Digests of the customer's keys.
     pub keys: Vec<ContentDigest>,
-    /// The rank of its calls, which goes before the route's.
+    /// Priority of the customer's calls. It overrides the priority of the route.
     pub priority: Option<u8>,
 }
 
-/// One whole configuration.
+/// Complete configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServingConfig {
-    /// Its number.
+    /// Version number.
     pub number: ConfigNumber,
-    /// The routes.
+    /// Routes that calls are matched against.
     pub routes: Vec<CallRoute>,
-    /// The services by name.
+    /// Services by name.
     pub services: BTreeMap<ServiceName, ServiceSpec>,
-    /// What callers may send.
+    /// Limits on callers' requests and connections.
     pub limits: RequestLimits,
-    /// The customers. Where there are none, no call needs a key.
+    /// Customers. If there are none, no call needs a key.
     pub customers: Vec<CustomerRow>,
 }
 
-/// What makes a configuration unusable, with its place in the document.
+/// Error that makes a configuration unusable, with its place in the document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigFinding {
-    /// The route, customer or field concerned.
+    /// Route, customer or field that the error concerns.
     pub place: String,
-    /// What is wrong.
+    /// Description of the error.
     pub message: String,
 }
 
@@ -215,9 +216,9 @@
 }
 
 impl ServingConfig {
-    /// Returns everything that makes this configuration unusable.
+    /// Returns all errors that make this configuration unusable.
     ///
-    /// All of it is reported at once, so that an operator does not have to find the mistakes one by one.
+    /// All of them are reported at once, so that an operator does not have to find them one by one.
     pub fn findings(&self) -> Vec<ConfigFinding> {
         let mut findings = Vec::new();
         let mut places = BTreeSet::new();
--- a/crates/acaciabay/tests/serving/config.rs
+++ b/crates/acaciabay/tests/serving/config.rs
@@ -1,4 +1,4 @@
-//! Look-ups in a configuration, and what makes one unusable.
+//! Tests of configuration lookups and validation.
 
 use acaciabay::core::serving::config::{CallKind, CallRoute};
 use acaciabay::core::serving::config_index::{AccessRefusal, ConfigIndex};
@@ -112,7 +112,7 @@
 proptest! {
     #![proptest_config(fixed_cases())]
 
-    /// A split sends each service the part of the calls that its weight says, and nothing to a weight of 0.
+    /// A split sends each service the share of calls that its weight specifies, and none to a weight of 0.
     #[test]
     fn a_split_follows_its_weights(weights in prop::collection::vec(0_u64..20, 1..5), draw: u64) {
         prop_assume!(weights.iter().sum::<u64>() > 0);
@@ -130,7 +130,7 @@
         prop_assert_eq!(split.pick_service(draw).map(acaciabay::core::name::ServiceName::as_str), Some(expected));
     }
 
-    /// Finding a route by the ends of the path agrees with looking at every route.
+    /// Looking up the prefixes of the path finds the same route as scanning all routes.
     #[test]
     fn a_look_up_agrees_with_a_scan(prefixes in prop::collection::btree_set("/([ab]/){0,3}", 1..6), path in "/([abc]/){0,4}[ab]?") {
         let routes: Vec<_> = prefixes.iter().map(|prefix| route(prefix, prefix)).collect();
