--- a/crates/acaciabay/src/core/serving/config_transfer.rs
+++ b/crates/acaciabay/src/core/serving/config_transfer.rs
@@ -1,9 +1,9 @@
-//! How a replica hands configurations to an entry over one connection, each as a change of the one before.
+//! Transfer of configurations from a replica to an entry over one connection, each as a delta against the previous one.
 //!
-//! A connection keeps the order and loses nothing while it lasts, so what a replica has put on it will be held by the
-//! entry before anything that follows. Neither side therefore needs the other's word for it: the replica never sends a
-//! configuration twice on one connection, however often the entry asks while it is on its way, and the entry takes every
-//! one that comes. A new connection begins anew. See `docs/design/machines.md`.
+//! A connection preserves order and loses nothing while it is open, so the entry has received every configuration that
+//! was sent earlier by the time it reads a later message. Neither side needs acknowledgements: the replica sends each
+//! configuration only once per connection, however often the entry asks while it is in transit, and the entry accepts
+//! every one that arrives. A new connection starts without this state. See `docs/design/machines.md`.
 
 use std::collections::VecDeque;
 
@@ -12,44 +12,44 @@
 use super::config::ConfigNumber;
 use crate::util::byte_delta::{ByteDelta, DeltaMisfit};
 
-/// A configuration as its operator sent it.
+/// Configuration document as the operator sent it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ConfigDocument {
-    /// Its number; 0 while there is none.
+    /// Version number; 0 if there is no configuration yet.
     pub number: ConfigNumber,
-    /// The document.
+    /// Content of the document.
     pub document: Bytes,
 }
 
-/// What brings an entry to a configuration.
+/// Content that updates an entry to a configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConfigUpdate {
-    /// The whole document.
+    /// Complete document.
     Full(Bytes),
-    /// What has changed since the configuration that this connection has brought before, or, if it has brought none,
-    /// since the one that the entry held when it asked.
+    /// Delta against the last configuration sent on this connection or, if none was sent, against the one that the
+    /// entry held when it asked.
     Delta {
-        /// The number of that one.
+        /// Number of the configuration that the delta applies to.
         base: ConfigNumber,
-        /// What has changed.
+        /// Difference between the two documents.
         delta: ByteDelta,
     },
 }
 
-/// How many configurations that were replaced are kept: entries are behind by one change, a few of them by more.
+/// Number of replaced configurations to keep. Most entries are one change behind, and a few of them more.
 const KEPT_CONFIGS: usize = 4;
 
-/// The configurations that were in force last, as far as this process has seen them, the newest first.
+/// The most recent configurations that this process has seen in force, newest first.
 ///
-/// With them a leader that has just been elected, or a connection that has just been made, starts with a change instead of
-/// the whole document: all entries ask it at the same moment.
+/// All entries ask a newly elected leader at the same moment. With these configurations it can answer with deltas
+/// instead of complete documents, and so can a replica on a new connection.
 #[derive(Clone, Debug, Default)]
 pub struct RecentConfigs {
     rows: VecDeque<ConfigDocument>,
 }
 
 impl RecentConfigs {
-    /// Notes a configuration that has come into force.
+    /// Records a configuration that has come into force. Ignores it unless it is newer than all recorded ones.
     pub fn record(&mut self, config: ConfigDocument) {
         let is_newer = self.rows.front().is_none_or(|newest| newest.number < config.number);
         if is_newer {
@@ -58,21 +58,24 @@
         }
     }
 
-    /// Returns a configuration by its number.
+    /// Returns the configuration with this number.
     pub fn get(&self, number: ConfigNumber) -> Option<&ConfigDocument> {
         self.rows.iter().find(|config| config.number == number)
     }
 }
 
-/// The last configuration that a replica has put on a connection.
+/// Sending side of a connection: the last configuration that a replica has sent on it.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigSender {
     last: Option<ConfigDocument>,
 }
 
 impl ConfigSender {
-    /// Returns what has to be sent so that an entry holds `newest`, which said that it held the number `held` when it
-    /// asked; nothing if that is on its way or held already. `known` finds what was in force before.
+    /// Returns the update that has to be sent so that an entry gets `newest`, or `None` if the entry already has it or
+    /// it is in transit.
+    ///
+    /// `held` is the number that the entry reported when it asked. It matters only for the first update on a
+    /// connection. `known` looks up a configuration that was in force before.
     pub fn next_update(
         &mut self,
         held: ConfigNumber,
@@ -94,17 +97,17 @@
     }
 }
 
-/// Why a configuration cannot be taken; the connection has to begin anew.
+/// Error in the sequence of updates. The connection has to be opened anew.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConfigUpdateError {
-    /// The change is one of a configuration that this connection has not brought.
+    /// The delta applies to a configuration that this connection has not delivered.
     BaseMismatch {
-        /// The number of that one.
+        /// Number of the configuration that the delta applies to.
         base: ConfigNumber,
     },
-    /// The change does not fit the configuration that it is made for.
+    /// The delta cannot be applied to its base.
     DeltaMismatch,
-    /// Nothing was sent, and nothing is held that this could mean.
+    /// The answer contains no update, but the configuration at hand has another number.
     MissingUpdate,
 }
 
@@ -126,21 +129,21 @@
     }
 }
 
-/// The last configuration that a connection has brought to an entry.
+/// Receiving side of a connection: the last configuration that an entry has received on it.
 ///
-/// It may be older than the one that the entry serves by, which may have come over another connection.
+/// It may be older than the configuration in use, which may have arrived over another connection.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigReceiver {
     last: Option<ConfigDocument>,
 }
 
 impl ConfigReceiver {
-    /// Returns the configuration with this number, which an answer has brought or meant; `held` is what the entry held
-    /// when it asked the question.
+    /// Returns the configuration `number` that an answer delivers or, without `content`, confirms. `held` is the
+    /// configuration that the entry held when it sent the request.
     ///
     /// # Errors
     ///
-    /// Fails when the answer does not follow from what came before it.
+    /// Returns an error if the answer does not follow from the previous ones.
     pub fn receive(
         &mut self,
         number: ConfigNumber,
--- a/crates/acaciabay/tests/serving/config_transfer.rs
+++ b/crates/acaciabay/tests/serving/config_transfer.rs
@@ -1,4 +1,4 @@
-//! Configurations that pass over connections in order, while questions and answers overlap.
+//! Tests of configurations that are sent over ordered connections while requests and answers overlap.
 
 use std::collections::VecDeque;
 
@@ -37,7 +37,7 @@
     )
 }
 
-/// Guards against a large configuration that is sent again with every question that is asked while it is on its way.
+/// Guards against sending a large configuration again for every request that arrives while it is in transit.
 #[test]
 fn a_configuration_on_its_way_is_not_sent_again() {
     let mut sent = ConfigSender::default();
@@ -57,7 +57,7 @@
     ));
 }
 
-/// Guards against a session that breaks because another one has brought something newer meanwhile.
+/// Guards against a session that fails because another session has delivered a newer configuration in the meantime.
 #[test]
 fn a_connection_goes_on_from_what_it_has_brought_itself() {
     let (mut sent, mut taken) = (ConfigSender::default(), ConfigReceiver::default());
@@ -70,7 +70,7 @@
     assert_eq!(held, Ok(&config(21)));
 }
 
-/// Guards against a leader that has just been elected and sends the whole document to every entry at once.
+/// Guards against a newly elected leader that sends the complete document to every entry at once.
 #[test]
 fn a_new_connection_starts_from_what_the_entry_holds() {
     let mut recent = RecentConfigs::default();
@@ -112,18 +112,18 @@
     assert_eq!(nothing, Err(ConfigUpdateError::MissingUpdate));
 }
 
-/// What happens next between an entry and the replicas that it has sessions with.
+/// Event between an entry and the replicas that it has sessions with.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// The entry asks a replica.
+    /// The entry sends a request to a replica.
     Ask(usize),
-    /// A replica that is up to date answers its next question.
+    /// A replica that is up to date answers its next request.
     Answer(usize),
     /// The next answer of a replica arrives.
     Arrive(usize),
     /// A newer configuration is committed.
     Commit(u64),
-    /// The connection to a replica breaks and a new one is made.
+    /// The connection to a replica breaks and is opened again.
     Reconnect(usize),
 }
 
@@ -147,7 +147,7 @@
 }
 
 proptest! {
-    /// Whatever overlaps, every answer gives the very document of its number, and no session has to begin anew.
+    /// In any interleaving, every answer yields the document with its number, and no session has to be opened anew.
     #[test]
     fn every_answer_gives_the_document_of_its_number(steps in prop::collection::vec(step(), 0..200)) {
         let mut connections: [Connection; 3] = Default::default();
