--- a/crates/acaciabay/src/core/serving/config_index.rs
+++ b/crates/acaciabay/src/core/serving/config_index.rs
@@ -1,4 +1,4 @@
-//! Finding a call's route and customer in the configuration in force.
+//! Lookup of a call's route and customer in the configuration in force.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 use super::config::{CallRoute, CustomerRow, ServingConfig};
 use crate::util::digest::ContentDigest;
 
-/// A configuration arranged for look-ups, so that a call costs the same with hundreds of routes as with five.
+/// Configuration indexed for lookups, so that a call costs the same with hundreds of routes as with five.
 #[derive(Clone, Debug)]
 pub struct ConfigIndex {
     config: ServingConfig,
@@ -14,26 +14,26 @@
     by_key: HashMap<ContentDigest, Arc<CustomerRow>>,
 }
 
-/// Why a call is not admitted.
+/// Reason why a call is not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AccessRefusal {
-    /// No route has the host and a prefix of the path.
+    /// No route matches the host and a prefix of the path.
     NoRoute,
-    /// The route asks for a key, and none that is in force was sent.
+    /// The route requires a key, and the call has none that is in force.
     UnknownKey,
 }
 
-/// A call that the configuration admits.
+/// Call that the configuration admits.
 #[derive(Clone, Debug)]
 pub struct AdmittedCall {
-    /// Its route.
+    /// Route of the call.
     pub route: Arc<CallRoute>,
-    /// The customer whose key it carries.
+    /// Customer that owns the call's key.
     pub customer: Option<Arc<CustomerRow>>,
 }
 
 impl AdmittedCall {
-    /// Returns the rank of the call; 0 is the most urgent.
+    /// Returns the priority of the call; 0 is the most urgent.
     pub fn priority(&self) -> u8 {
         let customer = self.customer.as_ref().and_then(|customer| customer.priority);
         customer.unwrap_or(self.route.priority)
@@ -41,7 +41,7 @@
 }
 
 impl ConfigIndex {
-    /// Arranges a configuration.
+    /// Builds the index of a configuration.
     pub fn new(config: ServingConfig) -> Self {
         let mut by_host: HashMap<String, HashMap<String, Arc<CallRoute>>> = HashMap::new();
         for route in &config.routes {
@@ -62,16 +62,16 @@
         }
     }
 
-    /// Returns the configuration as it was given.
+    /// Returns the indexed configuration.
     pub const fn config(&self) -> &ServingConfig {
         &self.config
     }
 
-    /// Finds route and customer of a call.
+    /// Returns the route and the customer of a call.
     ///
     /// # Errors
     ///
-    /// Refuses a call without a route, or without a key that the route asks for.
+    /// Returns an error if no route matches, or if the route requires a key and the call has no valid one.
     pub fn admit(&self, host: &str, path: &str, key: Option<&str>) -> Result<AdmittedCall, AccessRefusal> {
         let route = self.route(host, path).ok_or(AccessRefusal::NoRoute)?;
         let customer = key.and_then(|key| self.by_key.get(&ContentDigest::of(key)));
@@ -84,8 +84,8 @@
         })
     }
 
-    /// Finds the route of the host with the longest prefix of the path: every prefix ends with a slash, so only the
-    /// starts of the path that do are looked up, the longest first.
+    /// Returns the route of the host with the longest matching prefix. Every prefix ends with a slash, so only the
+    /// parts of the path that end with one are looked up, longest first.
     fn route(&self, host: &str, path: &str) -> Option<&Arc<CallRoute>> {
         let prefixes = self.by_host.get(host)?;
         let slashes = path.char_indices().rev().filter(|(_, letter)| *letter == '/');
