--- a/crates/acaciabay/tests/serving/config_freshness.rs
+++ b/crates/acaciabay/tests/serving/config_freshness.rs
@@ -1,4 +1,4 @@
-//! When a call may be denied by the configuration that an entry holds.
+//! Tests of when a call may be denied by the configuration that an entry holds.
 
 use std::time::Duration;
 
@@ -15,19 +15,19 @@
     assert!(!ConfigFreshness::default().may_deny(at(0), HELD, IN_FORCE));
 }
 
-/// Guards against a 404 for a route that was added longer ago than a change may take.
+/// Guards against a 404 for a route that was added longer ago than a change may take to come into force.
 #[test]
 fn a_confirmation_lasts_less_than_a_change_may_take() {
     let mut freshness = ConfigFreshness::default();
     freshness.record_confirmed(at(1_000));
-    // An answer to an older question that comes later takes nothing back.
+    // A later answer to an older request does not shorten the confirmation.
     freshness.record_confirmed(at(400));
 
     assert!(freshness.may_deny(at(2_499), HELD, IN_FORCE));
     assert!(!freshness.may_deny(at(2_500), HELD, IN_FORCE));
 }
 
-/// Guards against a 404 by a configuration that the entry knows to be replaced.
+/// Guards against a 404 from a configuration that the entry knows to be replaced.
 #[test]
 fn nothing_is_denied_by_a_configuration_that_is_known_to_be_old() {
     let mut freshness = ConfigFreshness::default();
