--- a/crates/acaciabay/src/core/serving/event_stream.rs
+++ b/crates/acaciabay/src/core/serving/event_stream.rs
@@ -1,34 +1,34 @@
-//! Cutting a stream of bytes into whole events.
+//! Splitting of a byte stream into complete events.
 //!
-//! An endpoint may break off in the middle of an event. Only whole events are passed on, so that another endpoint can
-//! go on after the last of them without a piece missing or coming twice.
+//! An endpoint may fail in the middle of an event. Only complete events are forwarded, so that another endpoint can
+//! continue after the last of them without a missing or duplicated part.
 
 use bytes::{Bytes, BytesMut};
 
-/// What stands at the end of an event.
+/// Byte sequence that terminates an event.
 const EVENT_TERMINATOR: &[u8] = b"\n\n";
-/// The field that carries an event's number.
+/// Field that contains the number of an event.
 const ID_FIELD: &[u8] = b"id:";
 
-/// Events that have arrived whole.
+/// Complete events.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WholeEvents {
-    /// Their bytes, as they came.
+    /// Bytes of the events, as received.
     pub bytes: Bytes,
-    /// How many they are.
+    /// Number of events.
     pub count: usize,
-    /// The number of the last one that carries a number.
+    /// Number of the last event that has one.
     pub last_id: Option<u64>,
 }
 
-/// Gathers bytes until events are whole.
+/// Buffers bytes until events are complete.
 #[derive(Clone, Debug, Default)]
 pub struct EventSplitter {
     pending: BytesMut,
 }
 
 impl EventSplitter {
-    /// Takes bytes and returns the events that are whole now.
+    /// Appends bytes and returns the events that are now complete.
     pub fn push(&mut self, bytes: &[u8]) -> WholeEvents {
         self.pending.extend_from_slice(bytes);
         let mut events = WholeEvents::default();
@@ -43,7 +43,7 @@
         events
     }
 
-    /// Returns what is left of an event that has not ended.
+    /// Returns the buffered part of an event that is not complete yet.
     pub fn partial_event(&self) -> &[u8] {
         &self.pending
     }
--- a/crates/acaciabay/tests/serving/events.rs
+++ b/crates/acaciabay/tests/serving/events.rs
@@ -1,4 +1,4 @@
-//! Cutting streams into whole events.
+//! Tests of splitting streams into complete events.
 
 use acaciabay::core::serving::event_stream::EventSplitter;
 use proptest::prelude::*;
@@ -10,8 +10,8 @@
     events.collect::<String>().into_bytes()
 }
 
-/// An engine crashes in the middle of an event. If its half were passed on, the caller would get the event's start twice
-/// when another engine goes on.
+/// An engine crashes in the middle of an event. If the partial event were forwarded, the caller would receive its
+/// beginning twice when another engine continues.
 #[test]
 fn a_half_event_stays_behind() {
     let mut splitter = EventSplitter::default();
@@ -35,7 +35,7 @@
 proptest! {
     #![proptest_config(fixed_cases())]
 
-    /// However the network cuts a stream, the events come out whole and in order.
+    /// However the network divides a stream, the events are complete and in order.
     #[test]
     fn any_cuts_give_the_same_events(count in 0_u64..20, cuts in prop::collection::vec(1_usize..40, 0..60)) {
         let whole = stream(count);
