--- a/crates/acaciabay/src/core/serving/issued_order.rs
+++ b/crates/acaciabay/src/core/serving/issued_order.rs
@@ -1,13 +1,13 @@
-//! What became of an order for endpoints that was given to the platform.
+//! Outcome of an order for endpoints that was sent to the platform.
 
 use std::time::Duration;
 
 use crate::core::clock::BootTime;
 
-/// How much longer than an endpoint takes to start an order may remain without effect before it is given again: a call
-/// that got no answer may be carried out seconds late, and undo a newer one.
+/// Time to wait beyond the boot time of an endpoint before an order without effect is issued again. The platform may
+/// execute an unanswered request seconds late, which would undo a newer order.
 const EFFECT_MARGIN: Duration = Duration::from_secs(6);
-/// How long to wait before an order that was refused, or got no answer, is given again.
+/// Delay before an order that was refused or not answered is issued again.
 const RETRY_DELAY: Duration = Duration::from_secs(2);
 
 /// The last order for endpoints of one kind in one failure domain.
@@ -16,26 +16,26 @@
     desired: u32,
     is_accepted: bool,
     is_refused: bool,
-    /// Whether as many endpoints as were ordered have been there since.
+    /// True if the ordered number of endpoints has been present since the order was accepted.
     is_fulfilled: bool,
     retry_at: BootTime,
 }
 
 impl IssuedOrder {
-    /// Notes an order that is given now, after an earlier one for the same endpoints. `boot` is how long an endpoint takes
-    /// to start.
+    /// Creates the record of an order that is issued now and replaces `previous`. `boot` is the time that an endpoint
+    /// takes to start.
     pub fn issue(now: BootTime, desired: u32, boot: Duration, previous: Option<&Self>) -> Self {
         Self {
             desired,
             is_accepted: false,
-            // Until the platform has answered, it is taken to refuse as it did before.
+            // Until the platform answers, the order counts as refused if the previous one was.
             is_refused: previous.is_some_and(|previous| previous.is_refused),
             is_fulfilled: false,
             retry_at: now + boot + EFFECT_MARGIN,
         }
     }
 
-    /// Takes the platform's answer.
+    /// Records the answer of the platform.
     pub fn record_answer(&mut self, now: BootTime, is_accepted: bool) {
         self.is_accepted = is_accepted;
         self.is_refused = !is_accepted;
@@ -44,25 +44,26 @@
         }
     }
 
-    /// Takes how many endpoints there are.
+    /// Records the number of endpoints that are present.
     pub const fn record_present(&mut self, count: u32) {
         self.is_fulfilled |= self.is_accepted && count >= self.desired;
     }
 
-    /// Tells whether the same need not be ordered again yet.
+    /// Returns true if an order for `desired` endpoints need not be issued again yet.
     ///
-    /// Endpoints that were there and are gone were taken back or have died: the order has had its effect, and only a new one
-    /// brings others.
+    /// An order is fulfilled once its endpoints were present. If they are gone later, they were reclaimed or have
+    /// failed, and only a new order replaces them.
     pub fn is_pending(&self, now: BootTime, desired: u32) -> bool {
         self.desired == desired && now < self.retry_at && !self.is_fulfilled
     }
 
-    /// Returns how many endpoints the platform has agreed to.
+    /// Returns the number of endpoints that the platform has agreed to provide, or `None` if it has not accepted the
+    /// order.
     pub fn accepted_count(&self) -> Option<u32> {
         self.is_accepted.then_some(self.desired)
     }
 
-    /// Tells whether the platform has refused it.
+    /// Returns true if the platform has refused the order.
     pub const fn is_refused(&self) -> bool {
         self.is_refused
     }
--- a/crates/acaciabay/tests/serving/issued_order.rs
+++ b/crates/acaciabay/tests/serving/issued_order.rs
@@ -1,4 +1,4 @@
-//! What becomes of orders for endpoints.
+//! Tests of the outcome of orders for endpoints.
 
 use std::time::Duration;
 
@@ -14,8 +14,8 @@
     order
 }
 
-/// The platform takes back a domain's endpoints two seconds after they came. The same number has been ordered and agreed
-/// to; waited for as if they were still starting, the gap would stay open for eight seconds more, in the middle of a burst.
+/// The platform reclaims the endpoints of a failure domain two seconds after they have started. If the accepted order
+/// still counted as pending, the gap would stay open for eight more seconds in the middle of a burst.
 #[test]
 fn endpoints_that_came_and_went_are_ordered_again_at_once() {
     let mut order = accepted(5);
@@ -29,7 +29,8 @@
     assert!(!order.is_pending(at(6_000), 5));
 }
 
-/// An order is carried out late. Given again before it could have had its effect, it would be paid for twice over.
+/// An order is executed late. If it were issued again before it could take effect, its endpoints would be paid for
+/// twice.
 #[test]
 fn an_order_is_not_repeated_while_it_may_still_have_its_effect() {
     let order = accepted(5);
@@ -39,7 +40,8 @@
     assert!(!order.is_pending(at(10_000), 5));
 }
 
-/// The platform has none to give. It is asked again after two seconds, and counts as refusing until it has agreed.
+/// The platform has no endpoints available. The order is issued again after two seconds and counts as refused until the
+/// platform accepts it.
 #[test]
 fn a_refused_order_is_given_again_soon_and_counts_as_refused_meanwhile() {
     let mut order = IssuedOrder::issue(at(0), 5, BOOT, None);
