--- a/crates/acaciabay/src/core/serving/group_clock.rs
+++ b/crates/acaciabay/src/core/serving/group_clock.rs
@@ -1,35 +1,35 @@
-//! The wall clock that most replicas agree on.
+//! Median wall clock of the replicas.
 //!
-//! The wall clock of a host may jump by seconds. Calls are billed by the window of the wall clock in which they began, so
-//! an entry goes by the middle one of what the replicas say, and only without them by its own clock.
+//! The wall clock of a host may jump by seconds. Calls are billed by the wall-clock window in which they started, so an
+//! entry uses the median of the replicas' clocks, and its own clock only if that is not available.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use crate::core::clock::BootTime;
 
-/// The fewest replicas whose middle is believed: of two that disagree, either may be wrong.
+/// Minimum number of replicas for a median. If only two clocks are known and they differ, either may be wrong.
 const MIN_REPLICAS: usize = 3;
 
-/// How far the wall clock of each replica is ahead of this host's boot clock.
+/// Offsets of the replicas' wall clocks from the boot clock of this host.
 #[derive(Clone, Debug, Default)]
 pub struct GroupClock {
     offsets_millis: BTreeMap<SocketAddr, i128>,
 }
 
 impl GroupClock {
-    /// Notes what a replica's wall clock says at `now`.
+    /// Records that the wall clock of a replica shows `wall_millis` at `now`.
     pub fn record(&mut self, now: BootTime, replica: SocketAddr, wall_millis: u64) {
         let offset = i128::from(wall_millis) - boot_millis(now);
         self.offsets_millis.insert(replica, offset);
     }
 
-    /// Forgets a replica that is no longer heard.
+    /// Removes a replica that is no longer connected.
     pub fn forget(&mut self, replica: &SocketAddr) {
         self.offsets_millis.remove(replica);
     }
 
-    /// Returns the time that most replicas agree on, in milliseconds since 1970; nothing while too few are heard.
+    /// Returns the median time in milliseconds since 1970, or `None` if too few replicas are known.
     pub fn wall_millis(&self, now: BootTime) -> Option<u64> {
         if self.offsets_millis.len() < MIN_REPLICAS {
             return None;
--- a/crates/acaciabay/tests/serving/clock.rs
+++ b/crates/acaciabay/tests/serving/clock.rs
@@ -1,4 +1,4 @@
-//! The wall clock that most replicas agree on.
+//! Tests of the median wall clock of the replicas.
 
 use std::net::SocketAddr;
 
@@ -10,8 +10,8 @@
     SocketAddr::from(([10, 0, 0, number], 1))
 }
 
-/// The wall clock of one replica jumps by two seconds. Believed, it would move calls into another window, and both windows
-/// would be billed wrongly.
+/// The wall clock of one replica jumps by two seconds. If an entry followed it, calls would move into another window,
+/// and both windows would be billed wrongly.
 #[test]
 fn one_clock_that_jumps_changes_nothing() {
     let mut clock = GroupClock::default();
