--- a/crates/acaciabay/tests/serving/leases.rs
+++ b/crates/acaciabay/tests/serving/leases.rs
@@ -1,4 +1,4 @@
-//! What becomes of calls while an entry has no lease.
+//! Tests of calls that arrive while an entry has no lease.
 
 use std::time::Duration;
 
@@ -6,8 +6,8 @@
 
 use crate::fixtures::at;
 
-/// All hosts lost power. Entries are back half a second before the group has a leader; turned away, a caller with a short
-/// time limit would not come back in time.
+/// After a power failure of all hosts, entries are back half a second before the control group has a leader. A refused
+/// caller with a short time limit would not retry in time.
 #[test]
 fn a_call_is_held_for_the_first_lease() {
     let outage = LeaseOutage::SinceStart(at(10_000));
@@ -22,7 +22,8 @@
     );
 }
 
-/// Its caller leaves before an endpoint could answer. Held all the same, it would learn of it too late to do anything else.
+/// The caller gives up before an endpoint could answer. If its call were held anyway, the caller would learn of the
+/// failure too late to react.
 #[test]
 fn a_call_without_the_time_for_an_answer_is_refused_at_once() {
     let outage = LeaseOutage::SinceStart(at(10_000));
@@ -30,8 +31,8 @@
     assert_eq!(outage.hold_time(at(10_200), at(10_340)), None);
 }
 
-/// The group has no leader long after the start, or the entry lost its lease while it ran: nobody knows how long that
-/// lasts, and other entries may serve.
+/// The control group still has no leader long after the start, or a running entry has lost its lease. The end of the
+/// outage is unknown, and other entries may serve the calls.
 #[test]
 fn nothing_is_held_without_a_lease_in_sight() {
     let late = LeaseOutage::SinceStart(at(10_000));
@@ -41,7 +42,7 @@
     assert_eq!(lost.hold_time(at(10_100), at(14_100)), None);
 }
 
-/// A caller that is told to come back too soon finds the entry as it left it.
+/// A caller that is told to retry too early would find the entry still without a lease.
 #[test]
 fn who_is_refused_comes_back_when_there_may_be_a_lease() {
     let lost = LeaseOutage::SinceEnd(at(10_000));
