--- a/crates/acaciabay/tests/serving/pending_renewals.rs
+++ b/crates/acaciabay/tests/serving/pending_renewals.rs
@@ -1,10 +1,10 @@
-//! Which renewals an entry asks for, and which answers count.
+//! Tests of which renewals an entry requests and which answers count.
 
 use acaciabay::core::serving::pending_renewals::PendingRenewals;
 
 use crate::fixtures::at;
 
-/// Guards against answers that are dropped because they come after the next question.
+/// Guards against dropping answers that arrive after the next request was sent.
 #[test]
 fn an_answer_to_an_older_question_counts_from_that_question() {
     let mut renewals = PendingRenewals::default();
@@ -18,7 +18,7 @@
     assert_eq!((next.requested_at, next.held), (at(700), "held later"));
 }
 
-/// Guards against an answer that counts twice, and against one to a question that was passed over.
+/// Guards against counting an answer twice, and against accepting one to a request older than the last answered one.
 #[test]
 fn a_question_is_answered_once_and_ends_those_before_it() {
     let mut renewals = PendingRenewals::default();
@@ -47,7 +47,7 @@
     assert_eq!(renewals.overdue(at(1_200)).map(|renewal| renewal.number), Some(2));
 }
 
-/// Guards against questions that pile up without bound at a replica that never answers.
+/// Guards against an unbounded number of requests to a replica that never answers.
 #[test]
 fn questions_without_answers_end() {
     let mut renewals = PendingRenewals::default();
