--- a/crates/acaciabay/src/core/serving/replica_tracker.rs
+++ b/crates/acaciabay/src/core/serving/replica_tracker.rs
@@ -1,8 +1,9 @@
-//! Which replicas of the control group an entry keeps sessions with, and which of them it asks for its lease.
+//! The replicas of the control group that an entry keeps sessions with, and those that it asks for its lease.
 //!
-//! Each replica tells who votes as it knows it, and may be behind the others. An entry that believed the last word alone
-//! could drop its session with the very replica that leads later, and nobody would tell it again: without a lease it then
-//! refuses all calls while every other entry serves. So it keeps a session with each replica that any of them names.
+//! Each replica reports the voters that it knows of, and its view may be stale. An entry that used only the latest
+//! report could close its session with the next leader and would not learn of it again. Without a lease it would then
+//! refuse all calls while every other entry serves. It therefore keeps a session with every replica that any of them
+//! reports.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -10,9 +11,9 @@
 
 use crate::core::clock::BootTime;
 
-/// How long after the last confirmation all replicas are asked instead of the one that is taken for the leader: two
-/// renewals and the way there and back. Two replicas that are cut off from the others may name each other as the leader
-/// for as long as the cut lasts, so a name alone is not believed for longer.
+/// Time after the last confirmation from which all replicas are asked instead of only the presumed leader: two renewal
+/// intervals and a round trip. Two replicas that are partitioned from the others may name each other as the leader for
+/// as long as the partition lasts, so such a claim is trusted for no longer than this.
 pub const LEADER_TIMEOUT: Duration = Duration::from_millis(600);
 
 #[derive(Clone, Debug, Default)]
@@ -21,7 +22,7 @@
     is_connected: bool,
 }
 
-/// What an entry knows of the control group.
+/// State of the control group as an entry knows it.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaTracker {
     reports: BTreeMap<SocketAddr, ReplicaReport>,
@@ -30,9 +31,9 @@
 }
 
 impl ReplicaTracker {
-    /// Notes who votes as a replica says.
+    /// Records the voters that a replica reports.
     pub fn record_voters(&mut self, replica: SocketAddr, voters: BTreeSet<SocketAddr>) {
-        // A replica that is lost and that this one no longer names has left the group.
+        // A disconnected replica that this one no longer lists has left the group.
         self.reports
             .retain(|other, report| report.is_connected || voters.contains(other));
         let report = ReplicaReport {
@@ -42,8 +43,8 @@
         self.reports.insert(replica, report);
     }
 
-    /// Notes that the session with a replica has ended. Its word is kept: after all sessions were cut, and the seeds were
-    /// exchanged, it may be the only way back.
+    /// Records that the session with a replica has ended. Its report is kept: if all sessions were lost and the seeds
+    /// replaced, it may be the only way to reconnect.
     pub fn mark_disconnected(&mut self, replica: SocketAddr) {
         if let Some(report) = self.reports.get_mut(&replica) {
             report.is_connected = false;
@@ -51,36 +52,36 @@
         self.clear_leader(replica);
     }
 
-    /// Returns the replicas to keep sessions with: all that any replica names, and the seeds.
+    /// Returns the replicas to keep sessions with: the seeds, and all voters in any report.
     pub fn session_targets(&self, seeds: impl IntoIterator<Item = SocketAddr>) -> BTreeSet<SocketAddr> {
         let named = self.reports.values().flat_map(|report| report.voters.iter().copied());
         named.chain(seeds).collect()
     }
 
-    /// Notes that a replica has confirmed the lease, as only the leader can.
+    /// Records that a replica has confirmed the lease, which only the leader can.
     pub const fn record_confirmed(&mut self, now: BootTime, replica: SocketAddr) {
         self.leader = Some(replica);
         self.confirmed_at = Some(now);
     }
 
-    /// Notes that a replica says that it has come to lead; whether it still does shows when it is asked.
+    /// Records that a replica claims to have become the leader. The next request shows whether it still is.
     pub const fn record_leader_claim(&mut self, replica: SocketAddr) {
         self.leader = Some(replica);
     }
 
-    /// Notes that a replica does not lead, and whom it takes for the leader.
+    /// Records that a replica is not the leader, and which one it names as the leader.
     pub fn record_not_leader(&mut self, replica: SocketAddr, named: Option<SocketAddr>) {
         if self.leader.is_none_or(|leader| leader == replica) {
             self.leader = named.filter(|named| *named != replica);
         }
     }
 
-    /// Takes a replica no longer for the leader; tells whether it was taken for it.
+    /// Clears the presumed leader if it is `replica`. Returns true if it was.
     pub fn clear_leader(&mut self, replica: SocketAddr) -> bool {
         self.leader.take_if(|leader| *leader == replica).is_some()
     }
 
-    /// Tells whether a replica is to be asked to confirm the lease.
+    /// Returns true if a replica has to be asked to confirm the lease.
     pub fn should_ask(&self, now: BootTime, replica: SocketAddr) -> bool {
         let is_unconfirmed = self
             .confirmed_at
--- a/crates/acaciabay/tests/serving/replica_tracker.rs
+++ b/crates/acaciabay/tests/serving/replica_tracker.rs
@@ -1,4 +1,4 @@
-//! Which replicas an entry hears and asks.
+//! Tests of which replicas an entry connects to and asks.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -15,9 +15,9 @@
     numbers.into_iter().map(replica).collect()
 }
 
-/// Two hosts join the group while an entry starts. A replica that has not heard of the second one yet is the last to say
-/// who votes. The entry would leave the second one for good, and refuse everything once that one leads: one entry machine
-/// served nobody for 21 s.
+/// Two hosts join the group while an entry starts, and the last replica to report its voters does not know the second
+/// one yet. If the entry closed its session with that host, it would refuse all calls once the host becomes the leader.
+/// In one case an entry host served no calls for 21 s.
 #[test]
 fn a_replica_that_is_behind_ends_no_session() {
     let mut tracker = ReplicaTracker::default();
@@ -28,7 +28,7 @@
     assert_eq!(tracker.session_targets([]), replicas(1..=5));
 }
 
-/// A host of the group was replaced. The entry need not try its old address for ever.
+/// A host of the group was replaced. The entry does not try its old address forever.
 #[test]
 fn a_replica_that_has_left_is_forgotten_once_nobody_names_it() {
     let mut tracker = ReplicaTracker::default();
@@ -41,8 +41,8 @@
     assert_eq!(tracker.session_targets([]), replicas([1, 2, 4]));
 }
 
-/// All sessions are cut for a while and the seeds have been exchanged for hosts that are down. The entry must find back to
-/// those that it knew.
+/// All sessions are lost for a while, and the seeds were replaced by hosts that are down. The entry must be able to
+/// reconnect to the replicas that it knew.
 #[test]
 fn replicas_are_known_while_no_session_is_open() {
     let mut tracker = ReplicaTracker::default();
@@ -53,9 +53,9 @@
     assert_eq!(tracker.session_targets([replica(9)]), replicas([1, 2, 3, 9]));
 }
 
-/// Two replicas are cut off from the three others, and one of them goes on naming the other as the leader. An entry that
-/// asks each replica four times a second, always in the same order, would ask these two in turn and never the leader: its
-/// callers would be refused for as long as the cut lasts.
+/// Two replicas are partitioned from the three others, and one of them keeps naming the other as the leader. An entry
+/// that asks each replica four times a second, always in the same order, would only ask these two in turn and never the
+/// leader, and refuse its callers for as long as the partition lasts.
 #[test]
 fn replicas_that_name_each_other_do_not_hide_the_leader() {
     let mut tracker = ReplicaTracker::default();
@@ -64,7 +64,7 @@
 
     for tick in 0..12 {
         let now = tick * 250;
-        // The old leader knows that it leads no more; its follower does not.
+        // The old leader knows that it is no longer the leader; its follower does not.
         if tracker.should_ask(at(now + 10), replica(1)) {
             tracker.record_not_leader(replica(1), None);
         }
@@ -79,7 +79,7 @@
     assert_eq!(asked_leader_at, Some(750));
 }
 
-/// While the leader answers, the others are not asked: each question costs every replica time.
+/// While the leader answers, the other replicas are not asked, because each request costs every replica time.
 #[test]
 fn only_the_leader_is_asked_while_it_answers() {
     let mut tracker = ReplicaTracker::default();
