--- a/crates/acaciabay/src/core/serving/retry_limiter.rs
+++ b/crates/acaciabay/src/core/serving/retry_limiter.rs
@@ -1,29 +1,29 @@
-//! A bound on second sends that many entries keep without asking each other.
+//! Limit on retries that many entries keep without communicating.
 //!
-//! When a service fails, every entry sends its calls again, and the service gets a multiple of its load at the worst
-//! moment. Operators bound that for all entries together: in any window, a part of the calls plus a fixed slack. The
-//! part of the calls can be kept by each entry for its own calls; the slack is divided by the number of entries.
+//! When a service fails, every entry retries its calls, and the load on the service multiplies at the worst moment.
+//! Operators limit the retries of all entries together: in any window, a ratio of the calls plus a fixed slack. Each
+//! entry applies the ratio to its own calls, and the slack is divided by the number of entries.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::core::clock::BootTime;
 
-/// The bound for one service over all entries.
+/// Limit on the retries of all entries to one service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryLimit {
-    /// Second sends for each call.
+    /// Number of retries allowed per call.
     pub ratio: f64,
-    /// Second sends beyond that.
+    /// Number of retries allowed beyond the ratio.
     pub slack: f64,
-    /// The length of the window that slides.
+    /// Length of the sliding window.
     pub window: Duration,
 }
 
-/// How much of the bound is used: the rest covers calls that two clocks count into different windows.
+/// Fraction of the limit that is used. The rest covers calls that two clocks assign to different windows.
 const USABLE_FRACTION: f64 = 0.8;
 
-/// What one entry has sent to one service within the window.
+/// Calls and retries that one entry has sent to one service within the window.
 #[derive(Clone, Debug, Default)]
 pub struct RetryLimiter {
     calls: VecDeque<BootTime>,
@@ -31,16 +31,16 @@
 }
 
 impl RetryLimiter {
-    /// Notes a caller's request.
+    /// Records a call from a caller.
     pub fn record_call(&mut self, now: BootTime, limit: &RetryLimit) {
         self.expire(now, limit);
         self.calls.push_back(now);
     }
 
-    /// Takes one second send and tells whether there was one left.
+    /// Acquires one retry and returns true, or returns false if the limit is reached.
     ///
-    /// `entries` is how many entries may be sending at present. Counting too few of them would let all together exceed
-    /// the slack.
+    /// `entries` is the number of entries that may be sending at present. If it is too low, the entries together may
+    /// exceed the slack.
     pub fn try_acquire(&mut self, now: BootTime, limit: &RetryLimit, entries: u32) -> bool {
         self.expire(now, limit);
         let allowed =
--- a/crates/acaciabay/tests/serving/retry_limiter.rs
+++ b/crates/acaciabay/tests/serving/retry_limiter.rs
@@ -1,4 +1,4 @@
-//! Second sends within a bound that all entries keep together.
+//! Tests of the limit on retries that all entries share.
 
 use std::time::Duration;
 
@@ -13,7 +13,8 @@
     window: Duration::from_secs(10),
 };
 
-/// A service fails every call. Each entry would send all its calls again, and the service would get twice its load.
+/// A service fails every call. Without the limit, each entry would retry all its calls and double the load on the
+/// service.
 #[test]
 fn a_failing_service_gets_few_second_sends() {
     let mut limiter = RetryLimiter::default();
@@ -30,7 +31,7 @@
 proptest! {
     #![proptest_config(fixed_cases())]
 
-    /// Entries that keep their own part never exceed the bound together, in any window.
+    /// Entries that each keep their own part of the limit never exceed it together in any window.
     #[test]
     fn entries_together_keep_the_bound(steps in prop::collection::vec((0_usize..4, 0_u64..200, any::<bool>()), 1..400)) {
         let mut limiters = vec![RetryLimiter::default(); 4];
