--- a/crates/acaciabay/src/core/serving/serving_state.rs
+++ b/crates/acaciabay/src/core/serving/serving_state.rs
@@ -1,4 +1,4 @@
-//! The part of the replicated state that serves calls by host and path: configuration, duties, usage windows.
+//! Part of the replicated state that serves calls by host and path: configuration, duties and usage windows.
 
 use std::collections::BTreeMap;
 
@@ -9,63 +9,63 @@
 use super::start_counts::{CustomerCounts, GatheredCounts, GatheredRow, WindowNumber};
 use crate::core::name::HostName;
 
-/// A change of the state.
+/// Command that changes the state.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServingCommand {
-    /// Puts a configuration in force if its number is higher than the one held.
+    /// Puts a configuration in force if its number is higher than the current one.
     PutConfig {
-        /// Its number.
+        /// Number of the configuration.
         number: ConfigNumber,
-        /// The document as the operator sent it, to be read back unchanged.
+        /// Document as the operator sent it, so that it can be read back unchanged.
         document: Bytes,
     },
-    /// Gives all duties to a host.
+    /// Assigns all duties to a host.
     AssumeDuties {
-        /// The host.
+        /// Host that takes the duties.
         holder: HostName,
     },
-    /// Keeps what entries have counted, so that it outlives all processes.
+    /// Stores the counts that entries report, so that they survive a restart of all processes.
     GatherStarts {
-        /// The rows that are new.
+        /// Rows to merge into the stored counts.
         rows: Vec<GatheredRow>,
     },
-    /// Fixes the counts of a window, before they are first reported.
+    /// Seals the counts of a window before they are first reported to the platform.
     SealStarts {
-        /// The window.
+        /// Window to seal.
         window: WindowNumber,
     },
-    /// Records that a window was taken by the platform.
+    /// Records that the platform has accepted the report of a window.
     SettleStarts {
-        /// The window.
+        /// Accepted window.
         window: WindowNumber,
     },
 }
 
-/// What a command came to.
+/// Result of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServingOutcome {
-    /// The number of the configuration in force.
+    /// Number of the configuration in force.
     Config(ConfigNumber),
-    /// The fence number given.
+    /// Fencing number of the new assignment.
     Fence(FenceNumber),
-    /// There is nothing to tell.
+    /// No further result.
     Done,
 }
 
-/// The state.
+/// State that results from the committed commands.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServingState {
-    /// The number of the configuration in force; 0 while there is none.
+    /// Number of the configuration in force; 0 if there is none.
     pub config_number: ConfigNumber,
-    /// The configuration in force, as it was sent.
+    /// Configuration in force, as the operator sent it.
     pub document: Bytes,
-    /// Who acts for the system.
+    /// Current assignment of the duties.
     pub duties: DutyTable,
-    /// What entries have counted in windows that are not fixed yet.
+    /// Counts that entries have reported for windows that are not sealed yet.
     pub gathered: GatheredCounts,
-    /// Windows that are fixed and not taken yet.
+    /// Windows that are sealed but not yet accepted by the platform.
     pub sealed: BTreeMap<WindowNumber, CustomerCounts>,
-    /// The highest window that was ever fixed.
+    /// Highest window that was ever sealed.
     pub last_sealed: WindowNumber,
 }
 
@@ -88,7 +88,8 @@
                 ServingOutcome::Done
             }
             ServingCommand::SealStarts { window } => {
-                // The first counts stand: a second report of the same window with others would be billed twice.
+                // The first counts are final: a second report of the same window with other counts would be billed
+                // twice.
                 if *window > self.last_sealed {
                     self.last_sealed = *window;
                     self.sealed.insert(*window, self.gathered.totals(*window));
--- a/crates/acaciabay/tests/serving/state.rs
+++ b/crates/acaciabay/tests/serving/state.rs
@@ -1,4 +1,4 @@
-//! The replicated part: configuration, duties, windows.
+//! Tests of the replicated state: configuration, duties and usage windows.
 
 use std::collections::BTreeMap;
 
@@ -30,8 +30,8 @@
     }
 }
 
-/// Two operators send different contents under one number, or a copy of an old one arrives. Callers would see a
-/// configuration come back that was replaced.
+/// Two operators send different documents under one number, or a copy of an old document arrives. If either replaced
+/// the configuration, callers would see a replaced configuration in force again.
 #[test]
 fn only_a_higher_number_replaces_a_configuration() {
     let mut state = ServingState::default();
@@ -43,8 +43,8 @@
     assert_eq!(state.document.as_ref(), b"five");
 }
 
-/// One host takes the duties twice. Under one number, calls of its first time that arrive late could not be told from
-/// those of the second.
+/// One host takes the duties twice. With the same number for both periods, delayed calls from the first could not be
+/// told from those of the second.
 #[test]
 fn each_holder_gets_a_higher_number() {
     let mut state = ServingState::default();
@@ -58,7 +58,7 @@
     );
 }
 
-/// A count arrives after its window was fixed. If it changed the figures, a copy of the report would differ from the one
+/// A count arrives after its window was sealed. If it changed the totals, a repeated report would differ from the one
 /// that the platform has already billed.
 #[test]
 fn a_fixed_window_never_changes() {
@@ -77,8 +77,8 @@
     assert_eq!(state.gathered.rows().count(), 0);
 }
 
-/// All processes are killed in the middle of a window. What was committed of it must still be billed beside what the
-/// new processes count.
+/// All processes are killed in the middle of a window. The committed counts must still be billed along with those of
+/// the new processes.
 #[test]
 fn counts_of_killed_processes_stay_in_their_window() {
     let mut state = ServingState::default();
@@ -110,7 +110,7 @@
 proptest! {
     #![proptest_config(fixed_cases())]
 
-    /// Whatever arrives in whatever order, the configuration in force is the first that came under the highest number.
+    /// In any order of arrival, the configuration in force is the first one received under the highest number.
     #[test]
     fn the_first_of_the_highest_number_is_in_force(puts in prop::collection::vec((1_u64..6, "[a-c]"), 1..20)) {
         let mut state = ServingState::default();
--- a/crates/acaciabay/tests/serving/windows.rs
+++ b/crates/acaciabay/tests/serving/windows.rs
@@ -1,4 +1,4 @@
-//! When usage windows are fixed.
+//! Tests of when usage windows are sealed.
 
 use std::time::Duration;
 
@@ -25,7 +25,8 @@
     assert_eq!(planned(53_600, 9, 200), []);
 }
 
-/// An entry is cut off at the end of a window. Fixed without it, what it has served would never be billed.
+/// An entry is partitioned at the end of a window. If the window were sealed without its counts, the calls that it has
+/// served would never be billed.
 #[test]
 fn a_window_waits_for_an_entry_that_is_cut_off() {
     assert_eq!(planned(55_000, 8, 5_500), []);
