--- a/crates/acaciabay/src/core/serving/start_counts.rs
+++ b/crates/acaciabay/src/core/serving/start_counts.rs
@@ -1,18 +1,18 @@
-//! Calls that began to run, by window of the wall clock and by customer.
+//! Counts of started calls by wall-clock window and customer.
 //!
-//! An entry keeps absolute counts and repeats them, so that a report that arrives twice, or at a leader that knows
-//! nothing yet, changes nothing: the leader takes the highest count that it has heard of each entry.
+//! An entry keeps absolute counts and reports them repeatedly. The leader keeps the highest count of each entry, so a
+//! duplicate report changes nothing, and a new leader gets the full counts from the next report.
 
 use std::collections::BTreeMap;
 
 use crate::core::name::CustomerName;
 
-/// Numbers windows; window k begins k window lengths after the start of 1970.
+/// Number of a window. Window k begins k window lengths after the start of 1970.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WindowNumber(pub u64);
 
 impl WindowNumber {
-    /// Returns the window that contains a moment.
+    /// Returns the window that contains a point in time.
     pub const fn at(unix_millis: u64, length_millis: u64) -> Self {
         Self(unix_millis / length_millis)
     }
@@ -21,14 +21,14 @@
 /// Counts by customer.
 pub type CustomerCounts = BTreeMap<CustomerName, u64>;
 
-/// The counts of one entry process.
+/// Counts of one entry process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StartCounts {
     windows: BTreeMap<WindowNumber, CustomerCounts>,
 }
 
 impl StartCounts {
-    /// Counts a call that began.
+    /// Counts a call that has started.
     pub fn count(&mut self, window: WindowNumber, customer: &CustomerName) {
         let counts = self.windows.entry(window).or_default();
         *counts.entry(customer.clone()).or_default() += 1;
@@ -39,7 +39,7 @@
         self.windows.iter().map(|(window, counts)| (*window, counts))
     }
 
-    /// Forgets windows before this one.
+    /// Removes all windows before `window`.
     pub fn remove_before(&mut self, window: WindowNumber) {
         self.windows = self.windows.split_off(&window);
     }
@@ -49,25 +49,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EntryStart(pub u64);
 
-/// What one entry process has counted in one window.
+/// Counts of one entry process in one window.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GatheredRow {
-    /// The process.
+    /// Entry process that counted.
     pub entry: EntryStart,
-    /// The window.
+    /// Window of the counts.
     pub window: WindowNumber,
-    /// Its counts so far.
+    /// Counts so far.
     pub counts: CustomerCounts,
 }
 
-/// The counts of all entries.
+/// Counts of all entries.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GatheredCounts {
     windows: BTreeMap<WindowNumber, BTreeMap<EntryStart, CustomerCounts>>,
 }
 
 impl GatheredCounts {
-    /// Takes a report; a lower count than one held is an old report.
+    /// Merges a report. A count lower than the stored one comes from an old report and is ignored.
     pub fn merge(&mut self, row: &GatheredRow) {
         let held = self
             .windows
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Tells whether a report says more than what is held.
+    /// Returns true if a report contains a count higher than the stored one.
     pub fn has_new_counts(&self, row: &GatheredRow) -> bool {
         let held = self
             .windows
@@ -91,7 +91,7 @@
         row.counts.iter().any(|(customer, count)| *count > known(customer))
     }
 
-    /// Returns the sums of a window.
+    /// Returns the totals of a window over all entries.
     pub fn totals(&self, window: WindowNumber) -> CustomerCounts {
         let mut totals = CustomerCounts::new();
         for counts in self.windows.get(&window).into_iter().flat_map(BTreeMap::values) {
@@ -113,7 +113,7 @@
         })
     }
 
-    /// Forgets a window and those before it.
+    /// Removes `window` and all windows before it.
     pub fn remove_through(&mut self, window: WindowNumber) {
         self.windows.retain(|known, _| *known > window);
     }
--- a/crates/acaciabay/tests/serving/counts.rs
+++ b/crates/acaciabay/tests/serving/counts.rs
@@ -1,4 +1,4 @@
-//! Counts of calls that began.
+//! Tests of the counts of started calls.
 
 use std::collections::BTreeMap;
 
@@ -16,8 +16,8 @@
     }
 }
 
-/// Two entries that start in the same moment count for the same customer. If they passed for one, the higher count would
-/// stand for both and a part of the calls would never be billed.
+/// Two entries that start at the same moment count calls of the same customer. If they were taken for one entry, only
+/// the higher count would be kept, and some calls would never be billed.
 #[test]
 fn counts_of_two_entries_add_up() {
     let mut gathered = GatheredCounts::default();
@@ -51,8 +51,8 @@
 proptest! {
     #![proptest_config(fixed_cases())]
 
-    /// Reports that come twice, late and in any order come to the last count of each entry, and only a report that says
-    /// more is news.
+    /// Reports that arrive repeatedly, late and in any order result in the highest count of each entry, and only a
+    /// report with a higher count is new.
     #[test]
     fn any_order_comes_to_the_highest_counts(reports in prop::collection::vec((0_u64..3, 0_u64..20), 0..30)) {
         let mut gathered = GatheredCounts::default();
