--- a/crates/acaciabay/src/core/serving/stop_phase.rs
+++ b/crates/acaciabay/src/core/serving/stop_phase.rs
@@ -1,25 +1,26 @@
-//! What an entry that was asked to stop still takes.
+//! Acceptance of calls by an entry that was asked to stop.
 
 use std::time::Duration;
 
 use crate::core::clock::BootTime;
 
-/// How long calls are still taken after the stop was asked for: the balancer asks once a second, believes two answers, and
-/// may go on sending callers here while too few other hosts are ready. A call that is taken later has so little of the
-/// time left in which the process may stop that a long answer would be cut; refused, its caller finds another host.
+/// Time for which calls are still accepted after the stop request. The balancer polls once a second, acts on two
+/// answers, and may keep sending callers here while too few other hosts are ready. A call that is accepted later has so
+/// little time left before the process has to end that a long answer would be cut off; if it is refused, its caller
+/// finds another host.
 const ACCEPT_DURATION: Duration = Duration::from_millis(2_900);
 
-/// When an entry was asked to stop, if it was.
+/// Time at which an entry was asked to stop, if it was.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StopPhase(Option<BootTime>);
 
 impl StopPhase {
-    /// Notes that the stop is asked for; a later request changes nothing.
+    /// Records a stop request. Later requests have no effect.
     pub fn request_stop(&mut self, now: BootTime) {
         self.0.get_or_insert(now);
     }
 
-    /// Tells whether a new call is taken.
+    /// Returns true if a new call is accepted.
     pub fn accepts_calls(self, now: BootTime) -> bool {
         self.0
             .is_none_or(|requested_at| now.since(requested_at) < ACCEPT_DURATION)
--- a/crates/acaciabay/tests/serving/stopping.rs
+++ b/crates/acaciabay/tests/serving/stopping.rs
@@ -1,11 +1,11 @@
-//! What an entry takes that was asked to stop.
+//! Tests of the calls that a stopping entry accepts.
 
 use acaciabay::core::serving::stop_phase::StopPhase;
 
 use crate::fixtures::at;
 
-/// An entry is stopped while so few others are ready that the balancer goes on sending callers to it. A long answer that
-/// begins after three of its eight seconds is cut when the process ends, and its caller has to ask again.
+/// An entry is stopped while so few others are ready that the balancer keeps sending callers to it. A long answer that
+/// starts after three of the eight seconds is cut off when the process ends, and its caller has to retry.
 #[test]
 fn calls_are_refused_before_their_answers_would_be_cut() {
     let mut phase = StopPhase::default();
