--- a/crates/acaciabay/tests/serving/config_transfer.rs
+++ b/crates/acaciabay/tests/serving/config_transfer.rs
@@ -19,17 +19,17 @@
     }
 }
 
-fn next_update(sent: &mut ConfigSender, held: u64, newest: &ConfigDocument) -> Option<ConfigUpdate> {
-    next_update_knowing(sent, held, newest, &RecentConfigs::default())
+fn next_update(sender: &mut ConfigSender, held: u64, newest: &ConfigDocument) -> Option<ConfigUpdate> {
+    next_update_with_recent(sender, held, newest, &RecentConfigs::default())
 }
 
-fn next_update_knowing(
-    sent: &mut ConfigSender,
+fn next_update_with_recent(
+    sender: &mut ConfigSender,
     held: u64,
     newest: &ConfigDocument,
     recent: &RecentConfigs,
 ) -> Option<ConfigUpdate> {
-    sent.next_update(
+    sender.next_update(
         ConfigNumber(held),
         newest,
         |number| recent.get(number).cloned(),
@@ -39,12 +39,12 @@
 
 /// Guards against sending a large configuration again for every request that arrives while it is in transit.
 #[test]
-fn a_configuration_on_its_way_is_not_sent_again() {
-    let mut sent = ConfigSender::default();
+fn a_configuration_in_transit_is_not_sent_again() {
+    let mut sender = ConfigSender::default();
 
-    let first = next_update(&mut sent, 0, &config(12));
-    let again = next_update(&mut sent, 0, &config(12));
-    let later = next_update(&mut sent, 0, &config(15));
+    let first = next_update(&mut sender, 0, &config(12));
+    let again = next_update(&mut sender, 0, &config(12));
+    let later = next_update(&mut sender, 0, &config(15));
 
     assert_eq!(first, Some(ConfigUpdate::Full(config(12).document)));
     assert_eq!(again, None);
@@ -59,26 +59,26 @@
 
 /// Guards against a session that fails because another session has delivered a newer configuration in the meantime.
 #[test]
-fn a_connection_goes_on_from_what_it_has_brought_itself() {
-    let (mut sent, mut taken) = (ConfigSender::default(), ConfigReceiver::default());
-    let first = next_update(&mut sent, 0, &config(12));
-    taken.receive(ConfigNumber(12), first, &config(0)).expect("whole");
-    let change = next_update(&mut sent, 20, &config(21));
+fn a_delta_is_based_on_the_last_configuration_of_its_connection() {
+    let (mut sender, mut receiver) = (ConfigSender::default(), ConfigReceiver::default());
+    let first = next_update(&mut sender, 0, &config(12));
+    receiver.receive(ConfigNumber(12), first, &config(0)).expect("whole");
+    let change = next_update(&mut sender, 20, &config(21));
 
-    let held = taken.receive(ConfigNumber(21), change, &config(20));
+    let held = receiver.receive(ConfigNumber(21), change, &config(20));
 
     assert_eq!(held, Ok(&config(21)));
 }
 
 /// Guards against a newly elected leader that sends the complete document to every entry at once.
 #[test]
-fn a_new_connection_starts_from_what_the_entry_holds() {
+fn a_new_connection_starts_with_a_delta_against_the_held_configuration() {
     let mut recent = RecentConfigs::default();
     (1..=9).for_each(|number| recent.record(config(number)));
     recent.record(config(4));
 
-    let change = next_update_knowing(&mut ConfigSender::default(), 6, &config(9), &recent);
-    let held_long_ago = next_update_knowing(&mut ConfigSender::default(), 4, &config(9), &recent);
+    let change = next_update_with_recent(&mut ConfigSender::default(), 6, &config(9), &recent);
+    let without_base = next_update_with_recent(&mut ConfigSender::default(), 4, &config(9), &recent);
 
     let taken = ConfigReceiver::default()
         .receive(ConfigNumber(9), change.clone(), &config(6))
@@ -91,11 +91,11 @@
         })
     ));
     assert_eq!(taken, Ok(config(9)));
-    assert_eq!(held_long_ago, Some(ConfigUpdate::Full(config(9).document)));
+    assert_eq!(without_base, Some(ConfigUpdate::Full(config(9).document)));
 }
 
 #[test]
-fn an_answer_that_follows_from_nothing_ends_the_session() {
+fn an_answer_without_its_base_is_an_error() {
     let other = ConfigUpdate::Delta {
         base: ConfigNumber(2),
         delta: ByteDelta::default(),
@@ -129,9 +129,9 @@
 
 #[derive(Debug, Default)]
 struct Connection {
-    sent: ConfigSender,
-    taken: ConfigReceiver,
-    questions: VecDeque<ConfigDocument>,
+    sender: ConfigSender,
+    receiver: ConfigReceiver,
+    requests: VecDeque<ConfigDocument>,
     answers: VecDeque<(ConfigDocument, ConfigNumber, Option<ConfigUpdate>)>,
 }
 
@@ -161,18 +161,18 @@
                     newest = config(newest.number.0 + ahead);
                 }
                 Step::Reconnect(replica) => connections[replica] = Connection::default(),
-                Step::Ask(replica) => connections[replica].questions.push_back(held.clone()),
+                Step::Ask(replica) => connections[replica].requests.push_back(held.clone()),
                 Step::Answer(replica) => {
                     let connection = &mut connections[replica];
-                    if let Some(asked) = connection.questions.pop_front() {
-                        let content = next_update_knowing(&mut connection.sent, asked.number.0, &newest, &recent);
+                    if let Some(asked) = connection.requests.pop_front() {
+                        let content = next_update_with_recent(&mut connection.sender, asked.number.0, &newest, &recent);
                         connection.answers.push_back((asked, newest.number, content));
                     }
                 }
                 Step::Arrive(replica) => {
                     let connection = &mut connections[replica];
                     if let Some((asked, number, content)) = connection.answers.pop_front() {
-                        let taken = connection.taken.receive(number, content, &asked);
+                        let taken = connection.receiver.receive(number, content, &asked);
                         prop_assert_eq!(taken, Ok(&config(number.0)));
                         if number > held.number {
                             held = config(number.0);
--- a/crates/acaciabay/tests/serving/counts.rs
+++ b/crates/acaciabay/tests/serving/counts.rs
@@ -54,7 +54,7 @@
     /// Reports that arrive repeatedly, late and in any order result in the highest count of each entry, and only a
     /// report with a higher count is new.
     #[test]
-    fn any_order_comes_to_the_highest_counts(reports in prop::collection::vec((0_u64..3, 0_u64..20), 0..30)) {
+    fn any_order_results_in_the_highest_counts(reports in prop::collection::vec((0_u64..3, 0_u64..20), 0..30)) {
         let mut gathered = GatheredCounts::default();
         let mut highest: BTreeMap<u64, u64> = BTreeMap::new();
         for (entry, count) in reports {
--- a/crates/acaciabay/tests/serving/events.rs
+++ b/crates/acaciabay/tests/serving/events.rs
@@ -13,7 +13,7 @@
 /// An engine crashes in the middle of an event. If the partial event were forwarded, the caller would receive its
 /// beginning twice when another engine continues.
 #[test]
-fn a_half_event_stays_behind() {
+fn a_partial_event_is_not_forwarded() {
     let mut splitter = EventSplitter::default();
 
     let events = splitter.push(b"id: 1\ndata: a\n\nid: 2\nda");
@@ -37,7 +37,7 @@
 
     /// However the network divides a stream, the events are complete and in order.
     #[test]
-    fn any_cuts_give_the_same_events(count in 0_u64..20, cuts in prop::collection::vec(1_usize..40, 0..60)) {
+    fn any_division_of_a_stream_yields_the_same_events(count in 0_u64..20, cuts in prop::collection::vec(1_usize..40, 0..60)) {
         let whole = stream(count);
         let mut splitter = EventSplitter::default();
         let (mut passed, mut events, mut last_id, mut place) = (Vec::new(), 0, None, 0);
--- a/crates/acaciabay/tests/serving/issued_order.rs
+++ b/crates/acaciabay/tests/serving/issued_order.rs
@@ -17,7 +17,7 @@
 /// The platform reclaims the endpoints of a failure domain two seconds after they have started. If the accepted order
 /// still counted as pending, the gap would stay open for eight more seconds in the middle of a burst.
 #[test]
-fn endpoints_that_came_and_went_are_ordered_again_at_once() {
+fn reclaimed_endpoints_are_ordered_again_at_once() {
     let mut order = accepted(5);
     order.record_present(3);
     let while_starting = order.is_pending(at(4_000), 5);
--- a/crates/acaciabay/tests/serving/leases.rs
+++ b/crates/acaciabay/tests/serving/leases.rs
@@ -34,7 +34,7 @@
 /// The control group still has no leader long after the start, or a running entry has lost its lease. The end of the
 /// outage is unknown, and other entries may serve the calls.
 #[test]
-fn nothing_is_held_without_a_lease_in_sight() {
+fn no_call_is_held_when_the_end_of_the_outage_is_unknown() {
     let late = LeaseOutage::SinceStart(at(10_000));
     let lost = LeaseOutage::SinceEnd(at(10_000));
 
@@ -44,7 +44,7 @@
 
 /// A caller that is told to retry too early would find the entry still without a lease.
 #[test]
-fn who_is_refused_comes_back_when_there_may_be_a_lease() {
+fn a_refused_caller_retries_when_a_lease_is_expected() {
     let lost = LeaseOutage::SinceEnd(at(10_000));
 
     assert_eq!(lost.retry_after(at(10_200)), Duration::from_secs(2));
--- a/crates/acaciabay/tests/serving/pending_renewals.rs
+++ b/crates/acaciabay/tests/serving/pending_renewals.rs
@@ -6,7 +6,7 @@
 
 /// Guards against dropping answers that arrive after the next request was sent.
 #[test]
-fn an_answer_to_an_older_question_counts_from_that_question() {
+fn an_answer_to_an_older_request_counts_from_that_request() {
     let mut renewals = PendingRenewals::default();
     let first = renewals.record_request(at(0), "held at first");
     let second = renewals.record_request(at(700), "held later");
@@ -20,7 +20,7 @@
 
 /// Guards against counting an answer twice, and against accepting one to a request older than the last answered one.
 #[test]
-fn a_question_is_answered_once_and_ends_those_before_it() {
+fn an_answer_completes_its_request_once_and_drops_older_ones() {
     let mut renewals = PendingRenewals::default();
     let first = renewals.record_request(at(0), ());
     let second = renewals.record_request(at(700), ());
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn the_next_question_waits_for_the_last_but_not_for_ever() {
+fn the_next_request_waits_for_the_last_until_a_timeout() {
     let mut renewals = PendingRenewals::default();
     assert!(renewals.can_request(at(0)));
 
@@ -49,19 +49,19 @@
 
 /// Guards against an unbounded number of requests to a replica that never answers.
 #[test]
-fn questions_without_answers_end() {
+fn unanswered_requests_are_limited() {
     let mut renewals = PendingRenewals::default();
-    let mut asked = 0;
+    let mut requested = 0;
 
     for second in 0..1_000 {
         let now = at(second * 1_000);
         if renewals.can_request(now) {
             renewals.record_request(now, ());
-            asked += 1;
+            requested += 1;
         }
     }
 
-    assert_eq!(asked, 32);
+    assert_eq!(requested, 32);
     renewals.complete(1).expect("the first is open");
     assert!(renewals.can_request(at(1_000_000)));
 }
--- a/crates/acaciabay/tests/serving/replica_tracker.rs
+++ b/crates/acaciabay/tests/serving/replica_tracker.rs
@@ -19,7 +19,7 @@
 /// one yet. If the entry closed its session with that host, it would refuse all calls once the host becomes the leader.
 /// In one case an entry host served no calls for 21 s.
 #[test]
-fn a_replica_that_is_behind_ends_no_session() {
+fn a_stale_replica_closes_no_session() {
     let mut tracker = ReplicaTracker::default();
 
     tracker.record_voters(replica(1), replicas(1..=5));
