--- a/crates/acaciabay/tests/serving/pending_renewals.rs
+++ b/crates/acaciabay/tests/serving/pending_renewals.rs
@@ -1,12 +1,12 @@
-//! Which renewals an entry asks for, and which answers count.
+//! Tests of which renewals an entry requests and which answers count.
 
 use acaciabay::core::serving::pending_renewals::PendingRenewals;
 
 use crate::fixtures::at;
 
-/// Guards against answers that are dropped because they come after the next question.
+/// Guards against dropping answers that arrive after the next request was sent.
 #[test]
-fn an_answer_to_an_older_question_counts_from_that_question() {
+fn an_answer_to_an_older_request_counts_from_that_request() {
     let mut renewals = PendingRenewals::default();
     let first = renewals.record_request(at(0), "held at first");
     let second = renewals.record_request(at(700), "held later");
@@ -18,9 +18,9 @@
     assert_eq!((next.requested_at, next.held), (at(700), "held later"));
 }
 
-/// Guards against an answer that counts twice, and against one to a question that was passed over.
+/// Guards against counting an answer twice, and against accepting one to a request older than the last answered one.
 #[test]
-fn a_question_is_answered_once_and_ends_those_before_it() {
+fn an_answer_completes_its_request_once_and_drops_older_ones() {
     let mut renewals = PendingRenewals::default();
     let first = renewals.record_request(at(0), ());
     let second = renewals.record_request(at(700), ());
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn the_next_question_waits_for_the_last_but_not_for_ever() {
+fn the_next_request_waits_for_the_last_until_a_timeout() {
     let mut renewals = PendingRenewals::default();
     assert!(renewals.can_request(at(0)));
 
@@ -47,21 +47,21 @@
     assert_eq!(renewals.overdue(at(1_200)).map(|renewal| renewal.number), Some(2));
 }
 
-/// Guards against questions that pile up without bound at a replica that never answers.
+/// Guards against an unbounded number of requests to a replica that never answers.
 #[test]
-fn questions_without_answers_end() {
+fn unanswered_requests_are_limited() {
     let mut renewals = PendingRenewals::default();
-    let mut asked = 0;
+    let mut requested = 0;
 
     for second in 0..1_000 {
         let now = at(second * 1_000);
         if renewals.can_request(now) {
             renewals.record_request(now, ());
-            asked += 1;
+            requested += 1;
         }
     }
 
-    assert_eq!(asked, 32);
+    assert_eq!(requested, 32);
     renewals.complete(1).expect("the first is open");
     assert!(renewals.can_request(at(1_000_000)));
 }
