--- a/crates/acaciabay/src/core/consensus/election.rs
+++ b/crates/acaciabay/src/core/consensus/election.rs
@@ -222,7 +222,7 @@
         self.election_attempts = 0;
         self.record_term_leader(self.id);
         self.round = 0;
-        self.rounds.clear();
+        self.unconfirmed_rounds.clear();
         // The leader holds no lease yet. This starts the period in which a quorum must confirm the first one.
         self.lease_until = now;
         let next = self.log.last_index().next();
@@ -230,7 +230,7 @@
         self.progress = others
             .map(|id| (id, FollowerProgress::starting_at(next, self.round)))
             .collect();
-        self.term_start = self.append_own(EntryPayload::Empty);
-        self.start_round(now);
+        self.term_start_index = self.append_as_leader(EntryPayload::Empty);
+        self.start_heartbeat_round(now);
     }
 }
--- a/crates/acaciabay/src/core/consensus/log.rs
+++ b/crates/acaciabay/src/core/consensus/log.rs
@@ -76,7 +76,7 @@
     }
 
     /// Returns copies of the entries from `first` on, up to the limits of one message.
-    pub(super) fn message_from(&self, first: LogIndex) -> Vec<LogEntry> {
+    pub(super) fn entries_for_message(&self, first: LogIndex) -> Vec<LogEntry> {
         let Some(offset) = self.offset(first) else {
             return Vec::new();
         };
@@ -95,7 +95,7 @@
     }
 
     /// Returns copies of the entries after `after`, up to and including `last`.
-    pub(super) fn between(&self, after: LogIndex, last: LogIndex) -> Vec<LogEntry> {
+    pub(super) fn entries_between(&self, after: LogIndex, last: LogIndex) -> Vec<LogEntry> {
         let Some(offset) = self.offset(after.next()) else {
             return Vec::new();
         };
@@ -137,7 +137,7 @@
     }
 
     /// Returns the index before the run of entries with the same term that ends at `index`, but none below the base.
-    pub(super) fn before_term_of(&self, index: LogIndex) -> LogIndex {
+    pub(super) fn index_before_term_of(&self, index: LogIndex) -> LogIndex {
         let Some(term) = self.term_at(index) else {
             return self.last_index();
         };
--- a/crates/acaciabay/src/core/consensus/members.rs
+++ b/crates/acaciabay/src/core/consensus/members.rs
@@ -87,7 +87,7 @@
     }
 
     /// Returns the highest value that at least `copies` voters have reached, or all voters if there are fewer.
-    pub(super) fn copies_value(&self, copies: usize, mut value_of: impl FnMut(ReplicaId) -> u64) -> u64 {
+    pub(super) fn replicated_value(&self, copies: usize, mut value_of: impl FnMut(ReplicaId) -> u64) -> u64 {
         let mut values: Vec<u64> = self.voters().map(&mut value_of).collect();
         values.sort_unstable_by(|first, second| second.cmp(first));
         let place = copies.min(values.len()).saturating_sub(1);
--- a/crates/acaciabay/src/core/consensus/membership.rs
+++ b/crates/acaciabay/src/core/consensus/membership.rs
@@ -114,12 +114,12 @@
                 (self.members.without(replica), replica)
             }
         };
-        Ok((self.append_own(EntryPayload::Members(members)), replica))
+        Ok((self.append_as_leader(EntryPayload::Members(members)), replica))
     }
 
     /// Returns true while a membership change or the first entry of this leader is not committed.
     pub fn is_changing(&self) -> bool {
-        self.members_index > self.commit || self.commit < self.term_start
+        self.members_index > self.commit || self.commit < self.term_start_index
     }
 
     /// Promotes a learner to a voter once it has synced the latest membership change and nearly all committed entries.
@@ -128,15 +128,18 @@
     /// lost right after a repair, those entries would be lost with it.
     pub(super) fn promote_learner(&mut self, id: ReplicaId) {
         let learner = self.members.get(id).is_some_and(|row| !row.voter && row.disk.is_some());
-        let matched = self.progress.get(&id).map_or(LogIndex(0), |progress| progress.matched);
-        let caught_up = matched >= self.members_index && matched.0 + MAX_PROMOTION_LAG >= self.commit.0;
+        let match_index = self
+            .progress
+            .get(&id)
+            .map_or(LogIndex(0), |progress| progress.match_index);
+        let caught_up = match_index >= self.members_index && match_index.0 + MAX_PROMOTION_LAG >= self.commit.0;
         let wanted = self
             .policy
             .voters
             .is_none_or(|most| self.members.voters().count() < most);
         if learner && caught_up && wanted && !self.is_changing() {
             let members = self.members.with_changed(id, |row| row.voter = true);
-            self.append_own(EntryPayload::Members(members));
+            self.append_as_leader(EntryPayload::Members(members));
         }
     }
 
@@ -146,8 +149,8 @@
         let states = rows.map(|(id, progress)| FollowerState {
             replica: *id,
             voter: self.members.is_voter(*id),
-            caught_up: progress.matched >= self.members_index
-                && progress.matched.0 + MAX_PROMOTION_LAG >= self.commit.0,
+            caught_up: progress.match_index >= self.members_index
+                && progress.match_index.0 + MAX_PROMOTION_LAG >= self.commit.0,
             silence: self.silence_of(progress),
         });
         states.collect()
@@ -156,7 +159,7 @@
     /// Returns the time since the follower's last reply. For a new member that has not replied yet, it counts from the
     /// round in which the leader started to track it.
     fn silence_of(&self, progress: &FollowerProgress) -> Duration {
-        let heard = progress.round.max(progress.since_round).min(self.round);
+        let heard = progress.round.max(progress.tracked_since_round).min(self.round);
         HEARTBEAT_INTERVAL * u32::try_from(self.round - heard).unwrap_or(u32::MAX)
     }
 
--- a/crates/acaciabay/src/core/consensus/replica.rs
+++ b/crates/acaciabay/src/core/consensus/replica.rs
@@ -119,10 +119,10 @@
     /// Number of election attempts since this replica last knew a leader.
     pub(super) election_attempts: u32,
     pub(super) progress: BTreeMap<ReplicaId, FollowerProgress>,
-    pub(super) term_start: LogIndex,
+    pub(super) term_start_index: LogIndex,
     pub(super) round: u64,
-    pub(super) rounds: VecDeque<(u64, BootTime)>,
-    pub(super) round_due: BootTime,
+    pub(super) unconfirmed_rounds: VecDeque<(u64, BootTime)>,
+    pub(super) next_round_at: BootTime,
     pub(super) lease_until: BootTime,
     pub(super) output: ReplicaOutput,
     pub(super) policy: QuorumPolicy,
@@ -161,10 +161,10 @@
             returning_leader_until: BootTime::default(),
             election_attempts: 0,
             progress: BTreeMap::new(),
-            term_start: LogIndex(0),
+            term_start_index: LogIndex(0),
             round: 0,
-            rounds: VecDeque::new(),
-            round_due: now,
+            unconfirmed_rounds: VecDeque::new(),
+            next_round_at: now,
             lease_until: BootTime::default(),
             output: ReplicaOutput::default(),
             policy: QuorumPolicy::default(),
@@ -212,9 +212,13 @@
                 self.handle_vote_request(now, from, term, pre_vote, (last_term, last_index));
             }
             MessageBody::VoteReply { pre_vote, granted } => self.handle_vote_reply(now, from, term, pre_vote, granted),
-            MessageBody::AppendRequest(request) => self.take_append(now, from, term, request),
-            MessageBody::AppendReply { accepted, index, round } => self.take_reply(from, accepted, index, round),
-            MessageBody::SnapshotRequest { snapshot, round } => self.take_snapshot(now, from, term, snapshot, round),
+            MessageBody::AppendRequest(request) => self.handle_append_request(now, from, term, request),
+            MessageBody::AppendReply { accepted, index, round } => {
+                self.handle_append_reply(from, accepted, index, round);
+            }
+            MessageBody::SnapshotRequest { snapshot, round } => {
+                self.handle_snapshot_request(now, from, term, snapshot, round);
+            }
         }
     }
 
@@ -231,7 +235,7 @@
         if self.role != ReplicaRole::Leader {
             return Err(NotLeader { leader: self.leader });
         }
-        Ok((self.term, self.append_own(EntryPayload::Command(command))))
+        Ok((self.term, self.append_as_leader(EntryPayload::Command(command))))
     }
 
     /// Returns true if this replica may act for the group at `now`, on a state that includes everything committed in
@@ -240,14 +244,14 @@
     /// It needs a lease confirmed by a quorum, and a committed entry of its own term. Before that, entries of earlier
     /// terms may be committed without this leader knowing it.
     pub fn may_act(&self, now: BootTime) -> bool {
-        self.role == ReplicaRole::Leader && self.delivered >= self.term_start && now < self.lease_until
+        self.role == ReplicaRole::Leader && self.delivered >= self.term_start_index && now < self.lease_until
     }
 
     /// Returns the end of the lease, for callers that check it again when they write. Without a lease it is in the
     /// past.
     pub fn lease_until(&self) -> BootTime {
         match self.role {
-            ReplicaRole::Leader if self.delivered >= self.term_start => self.lease_until,
+            ReplicaRole::Leader if self.delivered >= self.term_start_index => self.lease_until,
             _ => BootTime::default(),
         }
     }
@@ -258,7 +262,7 @@
             self.send_entries();
         }
         let mut output = std::mem::take(&mut self.output);
-        output.committed = self.log.between(self.delivered, self.commit);
+        output.committed = self.log.entries_between(self.delivered, self.commit);
         self.delivered = self.commit.max(self.delivered);
         output
     }
@@ -313,20 +317,20 @@
     }
 
     fn tick_leader(&mut self, now: BootTime) {
-        if now >= self.round_due {
-            self.start_round(now);
+        if now >= self.next_round_at {
+            self.start_heartbeat_round(now);
         }
         if now >= self.lease_until + LEASE_RENEWAL_GRACE {
             self.become_follower(now, self.term, None);
         }
     }
 
-    pub(super) fn start_round(&mut self, now: BootTime) {
+    pub(super) fn start_heartbeat_round(&mut self, now: BootTime) {
         self.round += 1;
-        self.round_due = now + HEARTBEAT_INTERVAL;
-        self.rounds.push_back((self.round, now));
+        self.next_round_at = now + HEARTBEAT_INTERVAL;
+        self.unconfirmed_rounds.push_back((self.round, now));
         self.renew_lease();
-        self.send_round();
+        self.send_heartbeats();
     }
 
     /// Extends the lease according to the latest round that a quorum has replied to, counted from when the round was
@@ -340,16 +344,16 @@
                 self.progress.get(&id).map_or(0, |progress| progress.round)
             }
         });
-        while let Some((oldest, sent_at)) = self.rounds.front().copied() {
+        while let Some((oldest, sent_at)) = self.unconfirmed_rounds.front().copied() {
             if oldest > confirmed {
                 break;
             }
             self.lease_until = self.lease_until.max(sent_at + LEADER_LEASE.saturating_sub(CLOCK_DRIFT));
-            self.rounds.pop_front();
+            self.unconfirmed_rounds.pop_front();
         }
     }
 
-    pub(super) fn append_own(&mut self, payload: EntryPayload) -> LogIndex {
+    pub(super) fn append_as_leader(&mut self, payload: EntryPayload) -> LogIndex {
         let index = self.log.last_index().next();
         self.append(LogEntry {
             index,
@@ -418,7 +422,7 @@
         self.leader = leader;
         self.votes_received.clear();
         self.progress.clear();
-        self.rounds.clear();
+        self.unconfirmed_rounds.clear();
         self.reset_election_timer(now);
     }
 
--- a/crates/acaciabay/src/core/consensus/replication.rs
+++ b/crates/acaciabay/src/core/consensus/replication.rs
@@ -10,7 +10,7 @@
 
 impl Replica {
     /// Accepts the sender as the leader of this term and grants no votes for the length of a lease.
-    fn follow(&mut self, now: BootTime, from: ReplicaId, term: Term) {
+    fn accept_leader(&mut self, now: BootTime, from: ReplicaId, term: Term) {
         if self.role != ReplicaRole::Follower || self.leader != Some(from) {
             self.become_follower(now, term, Some(from));
         }
@@ -22,8 +22,8 @@
         self.confirmed_lease_leader = Some(from);
     }
 
-    pub(super) fn take_append(&mut self, now: BootTime, from: ReplicaId, term: Term, request: AppendRequest) {
-        self.follow(now, from, term);
+    pub(super) fn handle_append_request(&mut self, now: BootTime, from: ReplicaId, term: Term, request: AppendRequest) {
+        self.accept_leader(now, from, term);
         let round = request.round;
         let last_new = LogIndex(request.previous_index.0 + request.entries.len() as u64);
         if last_new <= self.commit {
@@ -76,7 +76,7 @@
         if self.log.term_at(request.previous_index) == Some(request.previous_term) {
             return None;
         }
-        Some(self.log.before_term_of(request.previous_index).max(self.commit))
+        Some(self.log.index_before_term_of(request.previous_index).max(self.commit))
     }
 
     /// Appends new entries and replaces conflicting ones. Entries that are already in the log stay, because a delayed
@@ -106,7 +106,7 @@
         }
     }
 
-    pub(super) fn take_snapshot(
+    pub(super) fn handle_snapshot_request(
         &mut self,
         now: BootTime,
         from: ReplicaId,
@@ -114,10 +114,10 @@
         snapshot: ReplicaSnapshot,
         round: u64,
     ) {
-        self.follow(now, from, term);
+        self.accept_leader(now, from, term);
         let index = snapshot.index;
         if index > self.commit {
-            self.install(snapshot);
+            self.install_snapshot(snapshot);
         }
         let index = index.max(self.commit);
         self.send(
@@ -130,7 +130,7 @@
         );
     }
 
-    fn install(&mut self, snapshot: ReplicaSnapshot) {
+    fn install_snapshot(&mut self, snapshot: ReplicaSnapshot) {
         self.log = ReplicaLog::after_snapshot(snapshot.index, snapshot.term, snapshot.members.clone());
         self.members = snapshot.members.clone();
         self.members_index = snapshot.index;
@@ -142,7 +142,7 @@
         self.output.snapshot = Some(snapshot);
     }
 
-    pub(super) fn take_reply(&mut self, from: ReplicaId, accepted: bool, index: LogIndex, round: u64) {
+    pub(super) fn handle_append_reply(&mut self, from: ReplicaId, accepted: bool, index: LogIndex, round: u64) {
         if self.role != ReplicaRole::Leader {
             return;
         }
@@ -152,15 +152,18 @@
         };
         progress.round = progress.round.max(round);
         if accepted && index <= last {
-            progress.matched = progress.matched.max(index);
-            progress.next = progress.next.max(index.next());
+            progress.match_index = progress.match_index.max(index);
+            progress.next_index = progress.next_index.max(index.next());
             progress.probing = false;
             if progress.snapshot.is_some_and(|(snapshot, _)| index >= snapshot) {
                 progress.snapshot = None;
             }
         } else if !accepted && round > 0 {
             // Messages were lost or the logs differ: probe from the index that the follower suggests.
-            progress.next = index.min(progress.next.previous()).max(progress.matched).next();
+            progress.next_index = index
+                .min(progress.next_index.previous())
+                .max(progress.match_index)
+                .next();
             progress.probing = true;
         }
         self.renew_lease();
@@ -174,11 +177,11 @@
     pub(super) fn advance_commit(&mut self) {
         let (own, synced) = (self.id, self.synced);
         let copies = self.policy.copies.max(self.members.quorum());
-        let reached = self.members.copies_value(copies, |id| {
+        let reached = self.members.replicated_value(copies, |id| {
             if id == own {
                 synced.0
             } else {
-                self.progress.get(&id).map_or(0, |progress| progress.matched.0)
+                self.progress.get(&id).map_or(0, |progress| progress.match_index.0)
             }
         });
         let reached = LogIndex(reached);
@@ -189,7 +192,7 @@
     }
 
     /// Sends a heartbeat of the current round to every other member.
-    pub(super) fn send_round(&mut self) {
+    pub(super) fn send_heartbeats(&mut self) {
         let others: Vec<ReplicaId> = self.progress.keys().copied().collect();
         for to in others {
             self.send_append(to, true);
@@ -202,7 +205,7 @@
         let behind: Vec<ReplicaId> = self
             .progress
             .iter()
-            .filter(|(_, progress)| !progress.probing && progress.next <= last)
+            .filter(|(_, progress)| !progress.probing && progress.next_index <= last)
             .map(|(id, _)| *id)
             .collect();
         for to in behind {
@@ -216,21 +219,21 @@
         let Some(progress) = self.progress.get(&to).copied() else {
             return false;
         };
-        let previous_index = progress.next.previous();
+        let previous_index = progress.next_index.previous();
         let Some(previous_term) = self.log.term_at(previous_index) else {
-            let under_way = progress
+            let in_flight = progress
                 .snapshot
                 .is_some_and(|(_, sent)| self.round < sent + SNAPSHOT_RETRY_ROUNDS);
-            if heartbeat && !under_way {
+            if heartbeat && !in_flight {
                 self.output.wants_snapshot.insert(to);
             }
             return false;
         };
-        let full = progress.next.0 > progress.matched.0 + MAX_IN_FLIGHT_ENTRIES;
+        let full = progress.next_index.0 > progress.match_index.0 + MAX_IN_FLIGHT_ENTRIES;
         let entries = if full && !progress.probing {
             Vec::new()
         } else {
-            self.log.message_from(progress.next)
+            self.log.entries_for_message(progress.next_index)
         };
         if entries.is_empty() && !heartbeat {
             return false;
@@ -240,7 +243,7 @@
         if !progress.probing
             && let Some(progress) = self.progress.get_mut(&to)
         {
-            progress.next = sent_last.next();
+            progress.next_index = sent_last.next();
         }
         let request = AppendRequest {
             previous_index,
