--- a/crates/acaciabay/tests/consensus/main.rs
+++ b/crates/acaciabay/tests/consensus/main.rs
@@ -2,10 +2,10 @@
 //! scenarios.
 
 mod directed;
+mod restarts;
 mod schedule;
 mod simulated_disk;
 mod simulation;
-mod starts;
 
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
 
@@ -27,9 +27,9 @@
     let outcome = runner.run(&schedules(), |schedule| {
         let mut simulation = Simulation::new(schedule.replicas, schedule.seed);
         for action in &schedule.actions {
-            simulation.act(action).map_err(TestCaseError::fail)?;
+            simulation.apply_action(action).map_err(TestCaseError::fail)?;
         }
-        simulation.heal_and_settle().map_err(TestCaseError::fail)
+        simulation.heal_and_recover().map_err(TestCaseError::fail)
     });
     if let Err(error) = outcome {
         panic!("{error}");
@@ -68,15 +68,17 @@
 fn schedules_commit_entries() {
     let mut simulation = Simulation::new(3, 7);
     simulation
-        .act(&Action::Run { millis: 2_000 })
+        .apply_action(&Action::Run { millis: 2_000 })
         .expect("no invariant is violated");
     for _ in 0..50 {
-        simulation.act(&Action::Propose).expect("no invariant is violated");
         simulation
-            .act(&Action::Run { millis: 20 })
+            .apply_action(&Action::Propose)
+            .expect("no invariant is violated");
+        simulation
+            .apply_action(&Action::Run { millis: 20 })
             .expect("no invariant is violated");
     }
-    simulation.heal_and_settle().expect("no invariant is violated");
+    simulation.heal_and_recover().expect("no invariant is violated");
 
     assert!(
         simulation.acknowledged() >= 50,
--- a/crates/acaciabay/tests/consensus/simulation/faults.rs
+++ b/crates/acaciabay/tests/consensus/simulation/faults.rs
@@ -3,13 +3,13 @@
 use acaciabay::core::consensus::{DiskId, MemberChange, Replica, ReplicaRole};
 use rand::Rng;
 
-use super::{Host, Simulation, Verdict, decode_state, encode_state};
+use super::{CheckResult, Host, Simulation, decode_state, encode_state};
 use crate::simulated_disk::SimulatedDisk;
 
 impl Simulation {
     pub(super) fn kill(&mut self, index: usize) {
         self.hosts[index].running = None;
-        self.hosts[index].dies_in_write = None;
+        self.hosts[index].dies_after_entries = None;
     }
 
     pub(super) fn restart_all(&mut self) {
@@ -61,7 +61,7 @@
 
     /// Takes the next step of a repair on the current leader: remove the old member, add a new one, or bind it to its
     /// disk.
-    pub(super) fn repair(&mut self) -> Verdict {
+    pub(super) fn repair(&mut self) -> CheckResult {
         let Some(lost) = self.lost_disk else { return Ok(()) };
         let leads = |host: &Host| {
             host.running
--- a/crates/acaciabay/tests/consensus/simulation/judge.rs
+++ b/crates/acaciabay/tests/consensus/simulation/invariants.rs
@@ -3,12 +3,12 @@
 
 use acaciabay::core::consensus::{EntryPayload, LogEntry, Replica};
 
-use super::{Host, Simulation, Verdict, decode_value};
+use super::{CheckResult, Host, Simulation, decode_value};
 
 /// Number of recovery rounds at the end of a simulation. In each, the operator takes the next step of a repair.
-const SETTLE_ROUNDS: u32 = 8;
+const RECOVERY_ROUNDS: u32 = 8;
 /// Length of a recovery round.
-const SETTLE_MILLIS: u64 = 1_500;
+const RECOVERY_ROUND_MILLIS: u64 = 1_500;
 
 impl Simulation {
     pub(crate) fn acknowledged(&self) -> usize {
@@ -16,24 +16,24 @@
     }
 
     /// Ends all faults and checks that every member converges to the same list, which includes all acknowledged values.
-    pub(crate) fn heal_and_settle(&mut self) -> Verdict {
+    pub(crate) fn heal_and_recover(&mut self) -> CheckResult {
         self.cuts.clear();
-        self.network_is_whole = true;
+        self.network_is_reliable = true;
         for host in &mut self.hosts {
             host.paused_until = 0;
-            host.dies_in_write = None;
+            host.dies_after_entries = None;
         }
         self.restart_all();
-        for _ in 0..SETTLE_ROUNDS {
-            self.run(SETTLE_MILLIS)?;
+        for _ in 0..RECOVERY_ROUNDS {
+            self.run(RECOVERY_ROUND_MILLIS)?;
             self.repair()?;
             self.propose()?;
         }
-        self.run(3 * SETTLE_MILLIS)?;
-        self.check_settled()
+        self.run(3 * RECOVERY_ROUND_MILLIS)?;
+        self.check_recovered()
     }
 
-    pub(super) fn check_settled(&self) -> Verdict {
+    pub(super) fn check_recovered(&self) -> CheckResult {
         let list = self.committed_list();
         for (_, value) in &self.acknowledged {
             if !list.contains(value) {
@@ -67,7 +67,7 @@
     }
 
     pub(super) fn committed_list(&self) -> Vec<u64> {
-        self.truth.values().filter_map(|(_, value)| *value).collect()
+        self.reference_log.values().filter_map(|(_, value)| *value).collect()
     }
 
     pub(super) fn may_act(&self, host: &Host) -> bool {
@@ -83,7 +83,7 @@
 
     /// Checks that at most one replica, paused ones included, believes that it may act, and that it has applied every
     /// acknowledged value.
-    pub(super) fn check_leaders(&self) -> Verdict {
+    pub(super) fn check_leaders(&self) -> CheckResult {
         let acting: Vec<&Host> = self.hosts.iter().filter(|host| self.may_act(host)).collect();
         if acting.len() > 1 {
             let names: Vec<&str> = acting.iter().map(|host| host.name.as_str()).collect();
@@ -104,12 +104,12 @@
         Ok(())
     }
 
-    pub(super) fn apply(&mut self, index: usize, entry: &LogEntry) -> Verdict {
+    pub(super) fn apply(&mut self, index: usize, entry: &LogEntry) -> CheckResult {
         let value = match &entry.payload {
             EntryPayload::Command(bytes) => Some(decode_value(bytes)),
             EntryPayload::Empty | EntryPayload::Members(_) => None,
         };
-        let known = self.truth.entry(entry.index).or_insert((entry.term, value));
+        let known = self.reference_log.entry(entry.index).or_insert((entry.term, value));
         if *known != (entry.term, value) {
             return Err(format!(
                 "conflicting entries at {:?}: {known:?} and {:?}",
--- a/crates/acaciabay/tests/consensus/simulation/mod.rs
+++ b/crates/acaciabay/tests/consensus/simulation/mod.rs
@@ -1,10 +1,10 @@
 //! Simulation of a group of replicas with a virtual clock and with faults of the network, the hosts and the disks.
 //!
-//! This module advances the time and delivers messages. `faults` injects faults of hosts, and `judge` checks the
+//! This module advances the time and delivers messages. `faults` injects faults of hosts, and `invariants` checks the
 //! invariants of the group against one reference list of entries.
 
 mod faults;
-mod judge;
+mod invariants;
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -25,7 +25,7 @@
 /// Maximum deviation of a clock rate from real time, in both directions; well within the tolerance of the leases.
 const RATE_SPREAD: f64 = 0.005;
 
-pub(crate) type Verdict = Result<(), String>;
+pub(crate) type CheckResult = Result<(), String>;
 
 /// Host that can run a replica.
 #[derive(Debug)]
@@ -39,7 +39,7 @@
     applied: Vec<u64>,
     paused_until: u64,
     /// If set, the process dies during its next log write, after this many entries.
-    dies_in_write: Option<usize>,
+    dies_after_entries: Option<usize>,
     clock_rate: f64,
     clock_start: u64,
 }
@@ -59,13 +59,13 @@
     cuts: BTreeSet<(usize, usize)>,
     random: StdRng,
     /// Reference log: the entry at each index, as first applied by any replica.
-    truth: BTreeMap<LogIndex, (Term, Option<u64>)>,
+    reference_log: BTreeMap<LogIndex, (Term, Option<u64>)>,
     waiting: BTreeMap<(Term, LogIndex), u64>,
     acknowledged: Vec<(LogIndex, u64)>,
     next_value: u64,
     lost_disk: Option<usize>,
     /// True once all faults have ended: every message then arrives exactly once, without delay and in order.
-    network_is_whole: bool,
+    network_is_reliable: bool,
 }
 
 impl Simulation {
@@ -91,7 +91,7 @@
             running: None,
             applied: Vec::new(),
             paused_until: 0,
-            dies_in_write: None,
+            dies_after_entries: None,
             clock_rate: 1.0 + random.random_range(-RATE_SPREAD..RATE_SPREAD),
             clock_start: random.random_range(0..1_000_000),
         });
@@ -102,24 +102,24 @@
             network: Vec::new(),
             cuts: BTreeSet::new(),
             random,
-            truth: BTreeMap::new(),
+            reference_log: BTreeMap::new(),
             waiting: BTreeMap::new(),
             acknowledged: Vec::new(),
             next_value: 0,
             lost_disk: None,
-            network_is_whole: false,
+            network_is_reliable: false,
         };
         simulation.restart_all();
         simulation
     }
 
-    pub(crate) fn act(&mut self, action: &Action) -> Verdict {
+    pub(crate) fn apply_action(&mut self, action: &Action) -> CheckResult {
         let count = self.hosts.len();
         match action {
             Action::Run { millis } => return self.run(*millis),
             Action::Propose => return self.propose(),
             Action::Kill { replica } => self.kill(replica % count),
-            Action::KillInWrite { replica, entries } => self.hosts[replica % count].dies_in_write = Some(*entries),
+            Action::KillInWrite { replica, entries } => self.hosts[replica % count].dies_after_entries = Some(*entries),
             Action::Restart => self.restart_all(),
             Action::Pause { replica, millis } => self.hosts[replica % count].paused_until = self.now + millis,
             Action::Cut { from, to } => {
@@ -134,7 +134,7 @@
         Ok(())
     }
 
-    fn run(&mut self, millis: u64) -> Verdict {
+    fn run(&mut self, millis: u64) -> CheckResult {
         let until = self.now + millis;
         while self.now < until {
             self.now += STEP_MILLIS;
@@ -168,7 +168,7 @@
         BootTime::from_millis(host.clock_start + elapsed)
     }
 
-    fn deliver(&mut self) -> Verdict {
+    fn deliver(&mut self) -> CheckResult {
         let (now, waiting) = (self.now, std::mem::take(&mut self.network));
         for delivery in waiting {
             let Some(to) = self.host_of(delivery.message.to) else {
@@ -193,7 +193,7 @@
 
     fn post(&mut self, from: usize, message: &ReplicaMessage) {
         let Some(to) = self.host_of(message.to) else { return };
-        if self.network_is_whole {
+        if self.network_is_reliable {
             self.network.push(Delivery {
                 at: self.now + 1,
                 message: message.clone(),
@@ -216,7 +216,7 @@
     }
 
     /// Processes the replica's output: syncs, sends and applies.
-    fn process(&mut self, index: usize) -> Verdict {
+    fn process(&mut self, index: usize) -> CheckResult {
         loop {
             let Some(replica) = &mut self.hosts[index].running else {
                 return Ok(());
@@ -240,7 +240,7 @@
                 host.disk.hard_state = hard_state;
             }
             if let Some(append) = &output.append {
-                if let Some(written) = host.dies_in_write.take() {
+                if let Some(written) = host.dies_after_entries.take() {
                     host.disk.append(append, written);
                     self.kill(index);
                     return Ok(());
@@ -271,7 +271,7 @@
         }
     }
 
-    fn propose(&mut self) -> Verdict {
+    fn propose(&mut self) -> CheckResult {
         let start = self.random.random_range(0..self.hosts.len());
         for offset in 0..self.hosts.len() {
             let index = (start + offset) % self.hosts.len();
