--- a/crates/acacia-control/src/driver/members.rs
+++ b/crates/acacia-control/src/driver/members.rs
@@ -2,7 +2,7 @@
 
 use acacia_runtime::clock::boot_now;
 use acacia_runtime::event;
-use acaciabay::core::consensus::{DiskId, MemberChange, MemberRefusal, ReplicaId, ReplicaRole};
+use acaciabay::core::consensus::{DiskId, MemberChange, MemberChangeError, ReplicaId, ReplicaRole};
 use acaciabay::core::name::HostName;
 use acaciabay::ops::plan_members::plan_members;
 use tokio::sync::oneshot;
@@ -18,7 +18,11 @@
         disk: DiskId,
         answer: oneshot::Sender<Result<ReplicaId, String>>,
     ) {
-        let found = self.replica.members().on_host(host).map(|(id, row)| (id, row.disk));
+        let found = self
+            .replica
+            .members()
+            .find_by_host(host)
+            .map(|(id, row)| (id, row.disk));
         let refusal = match found {
             _ if self.replica.role() != ReplicaRole::Leader => String::new(),
             None => format!("host `{host}` is not a member; run `acacia members add`"),
@@ -49,7 +53,7 @@
         if !self.replica.may_act(boot_now()) {
             return JoinAnswer::Elsewhere(self.not_leading());
         }
-        if self.replica.is_changing() {
+        if self.replica.has_pending_change() {
             return JoinAnswer::Open;
         }
         let JoinCall {
@@ -65,7 +69,11 @@
                 Some(_) | None => JoinAnswer::Removed,
             };
         }
-        let found = self.replica.members().on_host(&host).map(|(id, row)| (id, row.disk));
+        let found = self
+            .replica
+            .members()
+            .find_by_host(&host)
+            .map(|(id, row)| (id, row.disk));
         let change = match found {
             Some((id, Some(bound))) if bound == disk => return JoinAnswer::Member(id),
             Some((replica, _)) => MemberChange::Remove { replica },
@@ -77,8 +85,8 @@
 
     /// Removes a voter that is silent while another member could take its place.
     pub(super) fn replace_silent_voter(&mut self) {
-        let Some(wanted) = self.policy.voters else { return };
-        if self.replica.is_changing() || !self.replica.may_act(boot_now()) {
+        let Some(wanted) = self.policy.max_voters else { return };
+        if self.replica.has_pending_change() || !self.replica.may_act(boot_now()) {
             return;
         }
         let voters = self.replica.members().voters().count();
@@ -103,13 +111,13 @@
 }
 
 /// Says why a change of the members was refused.
-pub(crate) fn describe_refusal(refusal: &MemberRefusal) -> String {
+pub(crate) fn describe_refusal(refusal: &MemberChangeError) -> String {
     match refusal {
-        MemberRefusal::NotLeader(_) => "this replica does not lead".to_owned(),
-        MemberRefusal::Busy => "the change before is not committed yet; try again".to_owned(),
-        MemberRefusal::HostTaken(id) => format!("the host is member {} already", id.0),
-        MemberRefusal::NoSuchMember => "there is no such member".to_owned(),
-        MemberRefusal::OtherDisk(_) => "the member is bound to another data folder".to_owned(),
-        MemberRefusal::LastVoter => "the only voter cannot be removed".to_owned(),
+        MemberChangeError::NotLeader(_) => "this replica does not lead".to_owned(),
+        MemberChangeError::ChangePending => "the change before is not committed yet; try again".to_owned(),
+        MemberChangeError::HostTaken(id) => format!("the host is member {} already", id.0),
+        MemberChangeError::NoSuchMember => "there is no such member".to_owned(),
+        MemberChangeError::DiskMismatch(_) => "the member is bound to another data folder".to_owned(),
+        MemberChangeError::LastVoter => "the only voter cannot be removed".to_owned(),
     }
 }
--- a/crates/acacia-control/src/driver/mod.rs
+++ b/crates/acacia-control/src/driver/mod.rs
@@ -204,7 +204,7 @@
             early_messages,
             messages,
             committed,
-            wants_snapshot,
+            needs_snapshot,
         } = output;
         if hard_state.is_none() {
             self.links.send(early_messages.iter());
@@ -222,7 +222,7 @@
         }
         self.links.send(messages.iter());
         self.apply(committed)?;
-        for to in wants_snapshot {
+        for to in needs_snapshot {
             self.send_snapshot(to);
         }
         self.compact_if_due()
--- a/crates/acacia-control/src/group.rs
+++ b/crates/acacia-control/src/group.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use acaciabay::core::clock::BootTime;
-use acaciabay::core::consensus::{DiskId, MemberChange, MemberRefusal, MemberSet, ReplicaId, ReplicaMessage, Term};
+use acaciabay::core::consensus::{DiskId, MemberChange, MemberChangeError, MemberSet, ReplicaId, ReplicaMessage, Term};
 use acaciabay::core::control_state::{CommandOutcome, ControlCommand, ControlState};
 use acaciabay::core::entry_config::ConfigVersion;
 use acaciabay::core::name::HostName;
@@ -57,7 +57,7 @@
     },
     ChangeMembers {
         change: MemberChange,
-        answer: oneshot::Sender<Result<ReplicaId, MemberRefusal>>,
+        answer: oneshot::Sender<Result<ReplicaId, MemberChangeError>>,
     },
     Identify {
         host: HostName,
@@ -204,10 +204,10 @@
     /// # Errors
     ///
     /// Fails with the reason why the change is not allowed at present.
-    pub async fn change_members(&self, change: MemberChange) -> Result<ReplicaId, MemberRefusal> {
+    pub async fn change_members(&self, change: MemberChange) -> Result<ReplicaId, MemberChangeError> {
         let (answer, receiver) = oneshot::channel();
         self.input(GroupInput::ChangeMembers { change, answer });
-        receiver.await.unwrap_or(Err(MemberRefusal::Busy))
+        receiver.await.unwrap_or(Err(MemberChangeError::ChangePending))
     }
 
     /// Finds the replica that a host with this data folder is to be.
--- a/crates/acacia-control/src/operator_members.rs
+++ b/crates/acacia-control/src/operator_members.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use acacia_runtime::clock::boot_now;
-use acaciabay::core::consensus::{MemberChange, MemberRefusal, ReplicaId};
+use acaciabay::core::consensus::{MemberChange, MemberChangeError, ReplicaId};
 use acaciabay::core::name::HostName;
 use hyper::StatusCode;
 use serde_json::{Value, json};
@@ -54,7 +54,9 @@
     let replica = match change(control, admission).await {
         Ok(replica) => replica,
         // The answer to the same admission was lost, and the operator's client has sent it again.
-        Err(MemberRefusal::HostTaken(replica)) if address_of(control, replica).as_deref() == Some(address) => replica,
+        Err(MemberChangeError::HostTaken(replica)) if address_of(control, replica).as_deref() == Some(address) => {
+            replica
+        }
         Err(refusal) => return Err(refusal_of(control, &refusal)),
     };
     Ok(json!({"host": host, "replica": replica.0}))
@@ -87,7 +89,7 @@
     let status = control.group.status().borrow().clone();
     let found = status
         .members
-        .on_host(&HostName::new(host))
+        .find_by_host(&HostName::new(host))
         .map(|(id, row)| (id, row.address.clone()));
     found.ok_or_else(|| {
         let message = format!("host `{host}` is not a member");
@@ -96,12 +98,12 @@
 }
 
 /// Makes a change as soon as the one before it is committed.
-async fn change(control: &Control, change: MemberChange) -> Result<ReplicaId, MemberRefusal> {
+async fn change(control: &Control, change: MemberChange) -> Result<ReplicaId, MemberChangeError> {
     let give_up = boot_now() + BUSY_TIMEOUT;
     loop {
         match control.group.change_members(change.clone()).await {
             Ok(replica) => return Ok(replica),
-            Err(MemberRefusal::Busy) if boot_now() < give_up => tokio::time::sleep(BUSY_PAUSE).await,
+            Err(MemberChangeError::ChangePending) if boot_now() < give_up => tokio::time::sleep(BUSY_PAUSE).await,
             Err(refusal) => return Err(refusal),
         }
     }
@@ -112,9 +114,9 @@
     status.members.get(replica).map(|row| row.address.clone())
 }
 
-fn refusal_of(control: &Control, refusal: &MemberRefusal) -> OperatorRefusal {
+fn refusal_of(control: &Control, refusal: &MemberChangeError) -> OperatorRefusal {
     match refusal {
-        MemberRefusal::NotLeader(_) => {
+        MemberChangeError::NotLeader(_) => {
             let status = control.group.status().borrow().clone();
             let leader = status
                 .leader
--- a/crates/acacia-control/src/serving/start.rs
+++ b/crates/acacia-control/src/serving/start.rs
@@ -169,8 +169,8 @@
 const fn policy_for(tolerated_losses: usize) -> QuorumPolicy {
     let needed = 2 * tolerated_losses + 1;
     QuorumPolicy {
-        copies: tolerated_losses + 1,
-        voters: Some(if needed > LEAST_VOTERS { needed } else { LEAST_VOTERS }),
+        min_copies: tolerated_losses + 1,
+        max_voters: Some(if needed > LEAST_VOTERS { needed } else { LEAST_VOTERS }),
     }
 }
 
--- a/crates/acaciabay/src/core/consensus/members.rs
+++ b/crates/acaciabay/src/core/consensus/members.rs
@@ -55,7 +55,7 @@
     }
 
     /// Returns the member that runs on a host.
-    pub fn on_host(&self, host: &HostName) -> Option<(ReplicaId, &MemberRow)> {
+    pub fn find_by_host(&self, host: &HostName) -> Option<(ReplicaId, &MemberRow)> {
         self.rows().find(|(_, row)| row.host == *host)
     }
 
@@ -97,7 +97,7 @@
     /// Returns the set with an additional learner that is bound to a data folder, and the id assigned to it.
     pub(super) fn with_bound_learner(&self, host: HostName, address: String, disk: DiskId) -> (Self, ReplicaId) {
         let (added, id) = self.with_learner(host, address);
-        (added.with_changed(id, |row| row.disk = Some(disk)), id)
+        (added.with_updated(id, |row| row.disk = Some(disk)), id)
     }
 
     /// Returns the set with an additional learner, and the id assigned to it.
@@ -118,7 +118,7 @@
     }
 
     /// Returns the set with `change` applied to one member.
-    pub(super) fn with_changed(&self, id: ReplicaId, change: impl FnOnce(&mut MemberRow)) -> Self {
+    pub(super) fn with_updated(&self, id: ReplicaId, change: impl FnOnce(&mut MemberRow)) -> Self {
         let mut next = self.clone();
         if let Some(row) = next.rows.get_mut(&id) {
             change(row);
--- a/crates/acaciabay/src/core/consensus/membership.rs
+++ b/crates/acaciabay/src/core/consensus/membership.rs
@@ -57,17 +57,17 @@
 
 /// Reason for which a membership change is refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum MemberRefusal {
+pub enum MemberChangeError {
     /// This replica is not the leader.
     NotLeader(NotLeader),
     /// The previous membership change is not committed, or this leader has not committed its first entry.
-    Busy,
+    ChangePending,
     /// The host already runs a member.
     HostTaken(ReplicaId),
     /// No member has this id.
     NoSuchMember,
     /// The member is bound to this other data folder, because its disk was emptied or replaced.
-    OtherDisk(DiskId),
+    DiskMismatch(DiskId),
     /// The member is the only voter.
     LastVoter,
 }
@@ -79,37 +79,37 @@
     ///
     /// Fails on a replica that does not lead, and while another change is pending: two concurrent changes could produce
     /// two quorums without a common member. Also fails if the change does not fit the present members.
-    pub fn change_members(&mut self, change: MemberChange) -> Result<(LogIndex, ReplicaId), MemberRefusal> {
+    pub fn change_members(&mut self, change: MemberChange) -> Result<(LogIndex, ReplicaId), MemberChangeError> {
         if self.role != ReplicaRole::Leader {
-            return Err(MemberRefusal::NotLeader(NotLeader { leader: self.leader }));
+            return Err(MemberChangeError::NotLeader(NotLeader { leader: self.leader }));
         }
-        if self.is_changing() {
-            return Err(MemberRefusal::Busy);
+        if self.has_pending_change() {
+            return Err(MemberChangeError::ChangePending);
         }
         let (members, replica) = match change {
             MemberChange::Add { host, address } => {
-                if let Some((taken, _)) = self.members.on_host(&host) {
-                    return Err(MemberRefusal::HostTaken(taken));
+                if let Some((taken, _)) = self.members.find_by_host(&host) {
+                    return Err(MemberChangeError::HostTaken(taken));
                 }
                 self.members.with_learner(host, address)
             }
             MemberChange::Admit { host, address, disk } => {
-                if let Some((taken, _)) = self.members.on_host(&host) {
-                    return Err(MemberRefusal::HostTaken(taken));
+                if let Some((taken, _)) = self.members.find_by_host(&host) {
+                    return Err(MemberChangeError::HostTaken(taken));
                 }
                 self.members.with_bound_learner(host, address, disk)
             }
             MemberChange::Bind { replica, disk } => {
-                let row = self.members.get(replica).ok_or(MemberRefusal::NoSuchMember)?;
+                let row = self.members.get(replica).ok_or(MemberChangeError::NoSuchMember)?;
                 match row.disk {
-                    Some(bound) if bound != disk => return Err(MemberRefusal::OtherDisk(bound)),
-                    _ => (self.members.with_changed(replica, |row| row.disk = Some(disk)), replica),
+                    Some(bound) if bound != disk => return Err(MemberChangeError::DiskMismatch(bound)),
+                    _ => (self.members.with_updated(replica, |row| row.disk = Some(disk)), replica),
                 }
             }
             MemberChange::Remove { replica } => {
-                let row = self.members.get(replica).ok_or(MemberRefusal::NoSuchMember)?;
+                let row = self.members.get(replica).ok_or(MemberChangeError::NoSuchMember)?;
                 if row.voter && self.members.voters().count() == 1 {
-                    return Err(MemberRefusal::LastVoter);
+                    return Err(MemberChangeError::LastVoter);
                 }
                 (self.members.without(replica), replica)
             }
@@ -118,7 +118,7 @@
     }
 
     /// Returns true while a membership change or the first entry of this leader is not committed.
-    pub fn is_changing(&self) -> bool {
+    pub fn has_pending_change(&self) -> bool {
         self.members_index > self.commit || self.commit < self.term_start_index
     }
 
@@ -135,10 +135,10 @@
         let caught_up = match_index >= self.members_index && match_index.0 + MAX_PROMOTION_LAG >= self.commit.0;
         let wanted = self
             .policy
-            .voters
+            .max_voters
             .is_none_or(|most| self.members.voters().count() < most);
-        if learner && caught_up && wanted && !self.is_changing() {
-            let members = self.members.with_changed(id, |row| row.voter = true);
+        if learner && caught_up && wanted && !self.has_pending_change() {
+            let members = self.members.with_updated(id, |row| row.voter = true);
             self.append_as_leader(EntryPayload::Members(members));
         }
     }
@@ -151,20 +151,20 @@
             voter: self.members.is_voter(*id),
             caught_up: progress.match_index >= self.members_index
                 && progress.match_index.0 + MAX_PROMOTION_LAG >= self.commit.0,
-            silence: self.silence_of(progress),
+            silence: self.time_since_reply(progress),
         });
         states.collect()
     }
 
     /// Returns the time since the follower's last reply. For a new member that has not replied yet, it counts from the
     /// round in which the leader started to track it.
-    fn silence_of(&self, progress: &FollowerProgress) -> Duration {
+    fn time_since_reply(&self, progress: &FollowerProgress) -> Duration {
         let heard = progress.round.max(progress.tracked_since_round).min(self.round);
         HEARTBEAT_INTERVAL * u32::try_from(self.round - heard).unwrap_or(u32::MAX)
     }
 
     /// Starts to track new members and stops to track removed ones.
-    pub(super) fn adjust_progress(&mut self) {
+    pub(super) fn track_members(&mut self) {
         if self.role != ReplicaRole::Leader {
             return;
         }
@@ -184,7 +184,7 @@
     }
 
     /// Steps down once the membership change that removes this replica is committed.
-    pub(super) fn leave_if_removed(&mut self) {
+    pub(super) fn step_down_if_removed(&mut self) {
         if self.commit >= self.members_index && !self.members.is_voter(self.id) {
             self.role = ReplicaRole::Follower;
             self.leader = None;
--- a/crates/acaciabay/src/core/consensus/replica.rs
+++ b/crates/acaciabay/src/core/consensus/replica.rs
@@ -14,8 +14,8 @@
 use super::message::{MessageBody, ReplicaMessage};
 use super::progress::FollowerProgress;
 use super::timing::{
-    CLOCK_DRIFT, ELECTION_TIMEOUT, HEARTBEAT_INTERVAL, LEADER_LEASE, LEASE_RENEWAL_GRACE, RETURNING_LEADER_PERIOD,
-    RETURNING_LEADER_TIMEOUT,
+    CLOCK_DRIFT_MARGIN, ELECTION_TIMEOUT, HEARTBEAT_INTERVAL, LEADER_LEASE, LEASE_RENEWAL_GRACE,
+    RETURNING_LEADER_PERIOD, RETURNING_LEADER_TIMEOUT,
 };
 use crate::core::clock::BootTime;
 
@@ -77,7 +77,7 @@
     /// Newly committed entries to apply, in log order.
     pub committed: Vec<LogEntry>,
     /// Followers that need a snapshot, which the caller sends with [`Replica::send_snapshot`].
-    pub wants_snapshot: BTreeSet<ReplicaId>,
+    pub needs_snapshot: BTreeSet<ReplicaId>,
 }
 
 /// Minimum number of copies of a committed entry, and maximum number of voters.
@@ -87,9 +87,9 @@
     ///
     /// While the group is being created or a member is being replaced, there are few voters, and a majority of three
     /// does not survive the loss of two disks.
-    pub copies: usize,
+    pub min_copies: usize,
     /// Maximum number of voters, or `None` for no limit. Further replicas stay learners that can replace a lost voter.
-    pub voters: Option<usize>,
+    pub max_voters: Option<usize>,
 }
 
 /// Replica of the group, as a state machine without I/O.
@@ -348,7 +348,9 @@
             if oldest > confirmed {
                 break;
             }
-            self.lease_until = self.lease_until.max(sent_at + LEADER_LEASE.saturating_sub(CLOCK_DRIFT));
+            self.lease_until = self
+                .lease_until
+                .max(sent_at + LEADER_LEASE.saturating_sub(CLOCK_DRIFT_MARGIN));
             self.unconfirmed_rounds.pop_front();
         }
     }
@@ -368,7 +370,7 @@
         if let EntryPayload::Members(members) = &entry.payload {
             self.members = members.clone();
             self.members_index = entry.index;
-            self.adjust_progress();
+            self.track_members();
         }
         let append = self.output.append.get_or_insert_with(|| LogAppend {
             first: entry.index,
--- a/crates/acaciabay/src/core/consensus/replication.rs
+++ b/crates/acaciabay/src/core/consensus/replication.rs
@@ -171,12 +171,12 @@
         self.promote_learner(from);
     }
 
-    /// Commits what a quorum, and at least [`QuorumPolicy::copies`](super::QuorumPolicy::copies) voters, have synced,
-    /// up to an entry of the current term. An entry of an older term may still be replaced by a leader that lacks it,
-    /// even if a quorum has synced it.
+    /// Commits what a quorum, and at least [`QuorumPolicy::min_copies`](super::QuorumPolicy::min_copies) voters, have
+    /// synced, up to an entry of the current term. An entry of an older term may still be replaced by a leader that
+    /// lacks it, even if a quorum has synced it.
     pub(super) fn advance_commit(&mut self) {
         let (own, synced) = (self.id, self.synced);
-        let copies = self.policy.copies.max(self.members.quorum());
+        let copies = self.policy.min_copies.max(self.members.quorum());
         let reached = self.members.replicated_value(copies, |id| {
             if id == own {
                 synced.0
@@ -187,7 +187,7 @@
         let reached = LogIndex(reached);
         if reached > self.commit && self.log.term_at(reached) == Some(self.term) {
             self.commit = reached;
-            self.leave_if_removed();
+            self.step_down_if_removed();
         }
     }
 
@@ -225,7 +225,7 @@
                 .snapshot
                 .is_some_and(|(_, sent)| self.round < sent + SNAPSHOT_RETRY_ROUNDS);
             if heartbeat && !in_flight {
-                self.output.wants_snapshot.insert(to);
+                self.output.needs_snapshot.insert(to);
             }
             return false;
         };
@@ -263,7 +263,7 @@
     }
 
     /// Sends a snapshot to a follower listed in
-    /// [`ReplicaOutput::wants_snapshot`](super::ReplicaOutput::wants_snapshot).
+    /// [`ReplicaOutput::needs_snapshot`](super::ReplicaOutput::needs_snapshot).
     ///
     /// At most one snapshot is in flight to each follower. If it is lost, the follower is listed again.
     pub fn send_snapshot(&mut self, to: ReplicaId, snapshot: ReplicaSnapshot) {
--- a/crates/acaciabay/src/core/consensus/timing.rs
+++ b/crates/acaciabay/src/core/consensus/timing.rs
@@ -14,7 +14,7 @@
 ///
 /// Clocks of two hosts run at slightly different rates. With 20 ms of 800, two leases cannot overlap unless the rates
 /// differ by more than 1.2 in 100, which is a hundred times what a working clock does.
-pub const CLOCK_DRIFT: Duration = Duration::from_millis(20);
+pub const CLOCK_DRIFT_MARGIN: Duration = Duration::from_millis(20);
 
 /// Time without contact from a leader after which a follower starts an election.
 ///
--- a/crates/acaciabay/src/core/delivery.rs
+++ b/crates/acaciabay/src/core/delivery.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::core::clock::BootTime;
-use crate::core::consensus::{CLOCK_DRIFT, LEADER_LEASE};
+use crate::core::consensus::{CLOCK_DRIFT_MARGIN, LEADER_LEASE};
 
 /// How long the kernel may go on delivering what was written on a connection for orders (`TCP_USER_TIMEOUT`).
 pub const DELIVERY_USER_TIMEOUT: Duration = Duration::from_secs(2);
@@ -15,7 +15,7 @@
 /// An endpoint that ignores fencing numbers would then obey whichever arrives last.
 pub const DELIVERY_GRACE: Duration = LEADER_LEASE
     .saturating_add(DELIVERY_USER_TIMEOUT)
-    .saturating_add(CLOCK_DRIFT);
+    .saturating_add(CLOCK_DRIFT_MARGIN);
 
 /// How long to wait before an attempt is repeated.
 const REPEAT_AFTER: Duration = Duration::from_secs(1);
--- a/crates/acaciabay/tests/consensus/directed.rs
+++ b/crates/acaciabay/tests/consensus/directed.rs
@@ -2,7 +2,7 @@
 
 use acaciabay::core::clock::BootTime;
 use acaciabay::core::consensus::{
-    AppendRequest, DiskId, EntryPayload, HardState, LEADER_LEASE, LogEntry, LogIndex, MemberChange, MemberRefusal,
+    AppendRequest, DiskId, EntryPayload, HardState, LEADER_LEASE, LogEntry, LogIndex, MemberChange, MemberChangeError,
     MemberRow, MemberSet, MessageBody, Replica, ReplicaId, ReplicaLog, ReplicaMessage, ReplicaRole, RestoredReplica,
     Term,
 };
@@ -300,9 +300,9 @@
     replica.step(at(1_420), append_reply(2, 3, 1));
     let third = replica.change_members(add("host-5"));
 
-    assert_eq!(before_own_entry, Err(MemberRefusal::Busy));
+    assert_eq!(before_own_entry, Err(MemberChangeError::ChangePending));
     assert!(first.is_ok());
-    assert_eq!(second, Err(MemberRefusal::Busy));
+    assert_eq!(second, Err(MemberChangeError::ChangePending));
     assert!(third.is_ok());
 }
 
@@ -360,5 +360,5 @@
         disk: DiskId(77),
     });
 
-    assert_eq!(refused, Err(MemberRefusal::OtherDisk(DiskId(3))));
+    assert_eq!(refused, Err(MemberChangeError::DiskMismatch(DiskId(3))));
 }
--- a/crates/acaciabay/tests/consensus/simulation/faults.rs
+++ b/crates/acaciabay/tests/consensus/simulation/faults.rs
@@ -76,7 +76,7 @@
             return Ok(());
         };
         let host = name.as_str().into();
-        let present = replica.members().on_host(&host).map(|(id, row)| (id, row.disk));
+        let present = replica.members().find_by_host(&host).map(|(id, row)| (id, row.disk));
         let change = match present {
             Some((replica, Some(bound))) if bound != disk => MemberChange::Remove { replica },
             Some((replica, _)) => MemberChange::Bind { replica, disk },
--- a/crates/acaciabay/tests/consensus/simulation/mod.rs
+++ b/crates/acaciabay/tests/consensus/simulation/mod.rs
@@ -257,7 +257,7 @@
             for entry in &output.committed {
                 self.apply(index, entry)?;
             }
-            for to in output.wants_snapshot {
+            for to in output.needs_snapshot {
                 self.send_snapshot(index, to);
             }
         }
--- a/crates/acaciabay/tests/serving/members.rs
+++ b/crates/acaciabay/tests/serving/members.rs
@@ -139,8 +139,8 @@
 #[test]
 fn an_entry_counts_only_on_as_many_disks_as_the_policy_says() {
     let policy = QuorumPolicy {
-        copies: 3,
-        voters: Some(5),
+        min_copies: 3,
+        max_voters: Some(5),
     };
     let mut trio = Trio::new(policy);
     trio.run(4_000, &[]);
@@ -165,8 +165,8 @@
 #[test]
 fn no_more_vote_than_are_wanted() {
     let policy = QuorumPolicy {
-        copies: 1,
-        voters: Some(1),
+        min_copies: 1,
+        max_voters: Some(1),
     };
     let (mut replica, mut now) = lone_leader(policy);
     let change = MemberChange::Admit {
