--- a/crates/acaciabay/src/core/consensus/members.rs
+++ b/crates/acaciabay/src/core/consensus/members.rs
@@ -90,8 +90,8 @@
     pub(super) fn replicated_value(&self, copies: usize, mut value_of: impl FnMut(ReplicaId) -> u64) -> u64 {
         let mut values: Vec<u64> = self.voters().map(&mut value_of).collect();
         values.sort_unstable_by(|first, second| second.cmp(first));
-        let place = copies.min(values.len()).saturating_sub(1);
-        values.get(place).copied().unwrap_or(0)
+        let rank = copies.min(values.len()).saturating_sub(1);
+        values.get(rank).copied().unwrap_or(0)
     }
 
     /// Returns the set with an additional learner that is bound to a data folder, and the id assigned to it.
--- a/crates/acaciabay/src/core/consensus/membership.rs
+++ b/crates/acaciabay/src/core/consensus/membership.rs
@@ -127,17 +127,17 @@
     /// An earlier promotion would let a quorum consist of replicas that lack committed entries. If a second host were
     /// lost right after a repair, those entries would be lost with it.
     pub(super) fn promote_learner(&mut self, id: ReplicaId) {
-        let learner = self.members.get(id).is_some_and(|row| !row.voter && row.disk.is_some());
+        let is_bound_learner = self.members.get(id).is_some_and(|row| !row.voter && row.disk.is_some());
         let match_index = self
             .progress
             .get(&id)
             .map_or(LogIndex(0), |progress| progress.match_index);
         let caught_up = match_index >= self.members_index && match_index.0 + MAX_PROMOTION_LAG >= self.commit.0;
-        let wanted = self
+        let has_vacancy = self
             .policy
             .max_voters
             .is_none_or(|most| self.members.voters().count() < most);
-        if learner && caught_up && wanted && !self.has_pending_change() {
+        if is_bound_learner && caught_up && has_vacancy && !self.has_pending_change() {
             let members = self.members.with_updated(id, |row| row.voter = true);
             self.append_as_leader(EntryPayload::Members(members));
         }
@@ -159,8 +159,8 @@
     /// Returns the time since the follower's last reply. For a new member that has not replied yet, it counts from the
     /// round in which the leader started to track it.
     fn time_since_reply(&self, progress: &FollowerProgress) -> Duration {
-        let heard = progress.round.max(progress.tracked_since_round).min(self.round);
-        HEARTBEAT_INTERVAL * u32::try_from(self.round - heard).unwrap_or(u32::MAX)
+        let last_round = progress.round.max(progress.tracked_since_round).min(self.round);
+        HEARTBEAT_INTERVAL * u32::try_from(self.round - last_round).unwrap_or(u32::MAX)
     }
 
     /// Starts to track new members and stops to track removed ones.
--- a/crates/acaciabay/src/core/consensus/replication.rs
+++ b/crates/acaciabay/src/core/consensus/replication.rs
@@ -177,16 +177,16 @@
     pub(super) fn advance_commit(&mut self) {
         let (own, synced) = (self.id, self.synced);
         let copies = self.policy.min_copies.max(self.members.quorum());
-        let reached = self.members.replicated_value(copies, |id| {
+        let replicated = self.members.replicated_value(copies, |id| {
             if id == own {
                 synced.0
             } else {
                 self.progress.get(&id).map_or(0, |progress| progress.match_index.0)
             }
         });
-        let reached = LogIndex(reached);
-        if reached > self.commit && self.log.term_at(reached) == Some(self.term) {
-            self.commit = reached;
+        let replicated = LogIndex(replicated);
+        if replicated > self.commit && self.log.term_at(replicated) == Some(self.term) {
+            self.commit = replicated;
             self.step_down_if_removed();
         }
     }
@@ -229,8 +229,8 @@
             }
             return false;
         };
-        let full = progress.next_index.0 > progress.match_index.0 + MAX_IN_FLIGHT_ENTRIES;
-        let entries = if full && !progress.probing {
+        let window_full = progress.next_index.0 > progress.match_index.0 + MAX_IN_FLIGHT_ENTRIES;
+        let entries = if window_full && !progress.probing {
             Vec::new()
         } else {
             self.log.entries_for_message(progress.next_index)
--- a/crates/acaciabay/tests/consensus/simulation/mod.rs
+++ b/crates/acaciabay/tests/consensus/simulation/mod.rs
@@ -282,9 +282,9 @@
             let Some(replica) = &mut self.hosts[index].running else {
                 continue;
             };
-            if let Ok(place) = replica.propose(encode_value(value)) {
+            if let Ok(position) = replica.propose(encode_value(value)) {
                 self.next_value += 1;
-                self.waiting.insert(place, value);
+                self.waiting.insert(position, value);
                 return self.process(index);
             }
         }
