--- a/crates/acaciabay/src/core/consensus/members.rs
+++ b/crates/acaciabay/src/core/consensus/members.rs
@@ -55,7 +55,7 @@
     }
 
     /// Returns the member that runs on a host.
-    pub fn on_host(&self, host: &HostName) -> Option<(ReplicaId, &MemberRow)> {
+    pub fn find_by_host(&self, host: &HostName) -> Option<(ReplicaId, &MemberRow)> {
         self.rows().find(|(_, row)| row.host == *host)
     }
 
@@ -87,17 +87,17 @@
     }
 
     /// Returns the highest value that at least `copies` voters have reached, or all voters if there are fewer.
-    pub(super) fn copies_value(&self, copies: usize, mut value_of: impl FnMut(ReplicaId) -> u64) -> u64 {
+    pub(super) fn replicated_value(&self, copies: usize, mut value_of: impl FnMut(ReplicaId) -> u64) -> u64 {
         let mut values: Vec<u64> = self.voters().map(&mut value_of).collect();
         values.sort_unstable_by(|first, second| second.cmp(first));
-        let place = copies.min(values.len()).saturating_sub(1);
-        values.get(place).copied().unwrap_or(0)
+        let rank = copies.min(values.len()).saturating_sub(1);
+        values.get(rank).copied().unwrap_or(0)
     }
 
     /// Returns the set with an additional learner that is bound to a data folder, and the id assigned to it.
     pub(super) fn with_bound_learner(&self, host: HostName, address: String, disk: DiskId) -> (Self, ReplicaId) {
         let (added, id) = self.with_learner(host, address);
-        (added.with_changed(id, |row| row.disk = Some(disk)), id)
+        (added.with_updated(id, |row| row.disk = Some(disk)), id)
     }
 
     /// Returns the set with an additional learner, and the id assigned to it.
@@ -118,7 +118,7 @@
     }
 
     /// Returns the set with `change` applied to one member.
-    pub(super) fn with_changed(&self, id: ReplicaId, change: impl FnOnce(&mut MemberRow)) -> Self {
+    pub(super) fn with_updated(&self, id: ReplicaId, change: impl FnOnce(&mut MemberRow)) -> Self {
         let mut next = self.clone();
         if let Some(row) = next.rows.get_mut(&id) {
             change(row);
--- a/crates/acaciabay/src/core/consensus/membership.rs
+++ b/crates/acaciabay/src/core/consensus/membership.rs
@@ -57,17 +57,17 @@
 
 /// Reason for which a membership change is refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum MemberRefusal {
+pub enum MemberChangeError {
     /// This replica is not the leader.
     NotLeader(NotLeader),
     /// The previous membership change is not committed, or this leader has not committed its first entry.
-    Busy,
+    ChangePending,
     /// The host already runs a member.
     HostTaken(ReplicaId),
     /// No member has this id.
     NoSuchMember,
     /// The member is bound to this other data folder, because its disk was emptied or replaced.
-    OtherDisk(DiskId),
+    DiskMismatch(DiskId),
     /// The member is the only voter.
     LastVoter,
 }
@@ -79,47 +79,47 @@
     ///
     /// Fails on a replica that does not lead, and while another change is pending: two concurrent changes could produce
     /// two quorums without a common member. Also fails if the change does not fit the present members.
-    pub fn change_members(&mut self, change: MemberChange) -> Result<(LogIndex, ReplicaId), MemberRefusal> {
+    pub fn change_members(&mut self, change: MemberChange) -> Result<(LogIndex, ReplicaId), MemberChangeError> {
         if self.role != ReplicaRole::Leader {
-            return Err(MemberRefusal::NotLeader(NotLeader { leader: self.leader }));
+            return Err(MemberChangeError::NotLeader(NotLeader { leader: self.leader }));
         }
-        if self.is_changing() {
-            return Err(MemberRefusal::Busy);
+        if self.has_pending_change() {
+            return Err(MemberChangeError::ChangePending);
         }
         let (members, replica) = match change {
             MemberChange::Add { host, address } => {
-                if let Some((taken, _)) = self.members.on_host(&host) {
-                    return Err(MemberRefusal::HostTaken(taken));
+                if let Some((taken, _)) = self.members.find_by_host(&host) {
+                    return Err(MemberChangeError::HostTaken(taken));
                 }
                 self.members.with_learner(host, address)
             }
             MemberChange::Admit { host, address, disk } => {
-                if let Some((taken, _)) = self.members.on_host(&host) {
-                    return Err(MemberRefusal::HostTaken(taken));
+                if let Some((taken, _)) = self.members.find_by_host(&host) {
+                    return Err(MemberChangeError::HostTaken(taken));
                 }
                 self.members.with_bound_learner(host, address, disk)
             }
             MemberChange::Bind { replica, disk } => {
-                let row = self.members.get(replica).ok_or(MemberRefusal::NoSuchMember)?;
+                let row = self.members.get(replica).ok_or(MemberChangeError::NoSuchMember)?;
                 match row.disk {
-                    Some(bound) if bound != disk => return Err(MemberRefusal::OtherDisk(bound)),
-                    _ => (self.members.with_changed(replica, |row| row.disk = Some(disk)), replica),
+                    Some(bound) if bound != disk => return Err(MemberChangeError::DiskMismatch(bound)),
+                    _ => (self.members.with_updated(replica, |row| row.disk = Some(disk)), replica),
                 }
             }
             MemberChange::Remove { replica } => {
-                let row = self.members.get(replica).ok_or(MemberRefusal::NoSuchMember)?;
+                let row = self.members.get(replica).ok_or(MemberChangeError::NoSuchMember)?;
                 if row.voter && self.members.voters().count() == 1 {
-                    return Err(MemberRefusal::LastVoter);
+                    return Err(MemberChangeError::LastVoter);
                 }
                 (self.members.without(replica), replica)
             }
         };
-        Ok((self.append_own(EntryPayload::Members(members)), replica))
+        Ok((self.append_as_leader(EntryPayload::Members(members)), replica))
     }
 
     /// Returns true while a membership change or the first entry of this leader is not committed.
-    pub fn is_changing(&self) -> bool {
-        self.members_index > self.commit || self.commit < self.term_start
+    pub fn has_pending_change(&self) -> bool {
+        self.members_index > self.commit || self.commit < self.term_start_index
     }
 
     /// Promotes a learner to a voter once it has synced the latest membership change and nearly all committed entries.
@@ -127,16 +127,19 @@
     /// An earlier promotion would let a quorum consist of replicas that lack committed entries. If a second host were
     /// lost right after a repair, those entries would be lost with it.
     pub(super) fn promote_learner(&mut self, id: ReplicaId) {
-        let learner = self.members.get(id).is_some_and(|row| !row.voter && row.disk.is_some());
-        let matched = self.progress.get(&id).map_or(LogIndex(0), |progress| progress.matched);
-        let caught_up = matched >= self.members_index && matched.0 + MAX_PROMOTION_LAG >= self.commit.0;
-        let wanted = self
+        let is_bound_learner = self.members.get(id).is_some_and(|row| !row.voter && row.disk.is_some());
+        let match_index = self
+            .progress
+            .get(&id)
+            .map_or(LogIndex(0), |progress| progress.match_index);
+        let caught_up = match_index >= self.members_index && match_index.0 + MAX_PROMOTION_LAG >= self.commit.0;
+        let has_vacancy = self
             .policy
-            .voters
+            .max_voters
             .is_none_or(|most| self.members.voters().count() < most);
-        if learner && caught_up && wanted && !self.is_changing() {
-            let members = self.members.with_changed(id, |row| row.voter = true);
-            self.append_own(EntryPayload::Members(members));
+        if is_bound_learner && caught_up && has_vacancy && !self.has_pending_change() {
+            let members = self.members.with_updated(id, |row| row.voter = true);
+            self.append_as_leader(EntryPayload::Members(members));
         }
     }
 
@@ -146,22 +149,22 @@
         let states = rows.map(|(id, progress)| FollowerState {
             replica: *id,
             voter: self.members.is_voter(*id),
-            caught_up: progress.matched >= self.members_index
-                && progress.matched.0 + MAX_PROMOTION_LAG >= self.commit.0,
-            silence: self.silence_of(progress),
+            caught_up: progress.match_index >= self.members_index
+                && progress.match_index.0 + MAX_PROMOTION_LAG >= self.commit.0,
+            silence: self.time_since_reply(progress),
         });
         states.collect()
     }
 
     /// Returns the time since the follower's last reply. For a new member that has not replied yet, it counts from the
     /// round in which the leader started to track it.
-    fn silence_of(&self, progress: &FollowerProgress) -> Duration {
-        let heard = progress.round.max(progress.since_round).min(self.round);
-        HEARTBEAT_INTERVAL * u32::try_from(self.round - heard).unwrap_or(u32::MAX)
+    fn time_since_reply(&self, progress: &FollowerProgress) -> Duration {
+        let last_round = progress.round.max(progress.tracked_since_round).min(self.round);
+        HEARTBEAT_INTERVAL * u32::try_from(self.round - last_round).unwrap_or(u32::MAX)
     }
 
     /// Starts to track new members and stops to track removed ones.
-    pub(super) fn adjust_progress(&mut self) {
+    pub(super) fn track_members(&mut self) {
         if self.role != ReplicaRole::Leader {
             return;
         }
@@ -181,7 +184,7 @@
     }
 
     /// Steps down once the membership change that removes this replica is committed.
-    pub(super) fn leave_if_removed(&mut self) {
+    pub(super) fn step_down_if_removed(&mut self) {
         if self.commit >= self.members_index && !self.members.is_voter(self.id) {
             self.role = ReplicaRole::Follower;
             self.leader = None;
--- a/crates/acaciabay/src/core/delivery.rs
+++ b/crates/acaciabay/src/core/delivery.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::core::clock::BootTime;
-use crate::core::consensus::{CLOCK_DRIFT, LEADER_LEASE};
+use crate::core::consensus::{CLOCK_DRIFT_MARGIN, LEADER_LEASE};
 
 /// Maximum time for which the kernel may still deliver data written to an order connection (`TCP_USER_TIMEOUT`).
 pub const DELIVERY_USER_TIMEOUT: Duration = Duration::from_secs(2);
@@ -15,7 +15,7 @@
 /// in flight. An endpoint that ignores fencing numbers would obey whichever order arrives last.
 pub const DELIVERY_GRACE: Duration = LEADER_LEASE
     .saturating_add(DELIVERY_USER_TIMEOUT)
-    .saturating_add(CLOCK_DRIFT);
+    .saturating_add(CLOCK_DRIFT_MARGIN);
 
 /// Minimum delay between the end of an attempt and the next one.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
