--- a/crates/acacia-entry/src/serving/shared.rs
+++ b/crates/acacia-entry/src/serving/shared.rs
@@ -10,7 +10,7 @@
 use acacia_settings::ServingEntrySettings;
 use acaciabay::core::clock::BootTime;
 use acaciabay::core::name::{CustomerName, DomainName, EndpointName, ServiceName};
-use acaciabay::core::serving::answer_pace::AnswerPace;
+use acaciabay::core::serving::answer_pace::AnswerLatency;
 use acaciabay::core::serving::config::EngineSpec;
 use acaciabay::core::serving::config_chain::HeldConfig;
 use acaciabay::core::serving::config_index::ConfigIndex;
@@ -74,7 +74,7 @@
     pub(super) kept_news: KeptNews,
     pub(super) demands: BTreeMap<ServiceName, DemandCount>,
     paces: BTreeMap<ServiceName, ReadingPace>,
-    answer_paces: BTreeMap<ServiceName, AnswerPace>,
+    answer_paces: BTreeMap<ServiceName, AnswerLatency>,
     budgets: HashMap<ServiceName, SendBudget>,
 }
 
@@ -114,12 +114,12 @@
 
     /// Notes how long an engine of a service took until it began to make tokens.
     pub(super) fn note_first_answer(&mut self, service: &ServiceName, took: Duration) {
-        self.answer_paces.entry(service.clone()).or_default().note(took);
+        self.answer_paces.entry(service.clone()).or_default().record(took);
     }
 
     /// Returns after which silence an engine of a service that makes tokens is doubted.
     pub(super) fn doubt_after(&self, service: &ServiceName) -> Option<Duration> {
-        self.answer_paces.get(service)?.doubt_after()
+        self.answer_paces.get(service)?.suspicion_timeout()
     }
 
     /// Returns how many milliseconds a service's engines take for a token of a prompt by themselves, if that was measured.
--- a/crates/acaciabay/src/core/serving/shared_suspicion.rs
+++ b/crates/acaciabay/src/core/serving/shared_suspicion.rs
@@ -10,7 +10,7 @@
 
 /// Minimum number of failure domains that must find an endpoint silent. If only one does, the network between them may
 /// be at fault.
-const LEAST_DOMAINS: usize = 2;
+const MIN_DOMAINS: usize = 2;
 
 /// Returns the endpoints that entries in several failure domains suspect.
 pub fn shared_suspicions<'entry>(
@@ -20,8 +20,6 @@
     for (domain, endpoint) in suspicions {
         domains.entry(endpoint).or_default().insert(domain);
     }
-    let shared = domains
-        .into_iter()
-        .filter(|(_, domains)| domains.len() >= LEAST_DOMAINS);
+    let shared = domains.into_iter().filter(|(_, domains)| domains.len() >= MIN_DOMAINS);
     shared.map(|(endpoint, _)| endpoint).collect()
 }
--- a/crates/acaciabay/tests/serving/silence.rs
+++ b/crates/acaciabay/tests/serving/silence.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use acaciabay::core::name::{DomainName, EndpointName};
-use acaciabay::core::serving::answer_pace::AnswerPace;
+use acaciabay::core::serving::answer_pace::AnswerLatency;
 use acaciabay::core::serving::endpoint_load::LoadTable;
 use acaciabay::core::serving::shared_suspicion::shared_suspicions;
 
@@ -47,19 +47,19 @@
 /// answers usually begin within 50 ms must be suspected early, since its call is stuck until then.
 #[test]
 fn silence_is_measured_by_what_is_usual() {
-    let mut pace = AnswerPace::default();
-    assert_eq!(pace.doubt_after(), None);
+    let mut pace = AnswerLatency::default();
+    assert_eq!(pace.suspicion_timeout(), None);
 
     for _ in 0..200 {
-        pace.note(Duration::from_millis(50));
+        pace.record(Duration::from_millis(50));
     }
-    assert_eq!(pace.doubt_after(), Some(Duration::from_millis(400)));
+    assert_eq!(pace.suspicion_timeout(), Some(Duration::from_millis(400)));
 
     // Under load all engines are slow, which must not make them suspect.
     for _ in 0..200 {
-        pace.note(Duration::from_millis(900));
+        pace.record(Duration::from_millis(900));
     }
-    assert!(pace.doubt_after() > Some(Duration::from_millis(1_800)));
+    assert!(pace.suspicion_timeout() > Some(Duration::from_millis(1_800)));
 }
 
 /// A suspected engine that answers after all is used again at once, so that its capacity is not lost.
