--- a/crates/acacia-entry/src/serving/attempt.rs
+++ b/crates/acacia-entry/src/serving/attempt.rs
@@ -187,9 +187,9 @@
     metrics::counter!("acacia_attempts_failed_total").increment(1);
     let mut view = call.shared.view();
     match outcome {
-        AttemptOutcome::NotRun { arrived: false } => view.loads.note_unreachable(boot_now(), &chosen.name),
-        AttemptOutcome::Lost | AttemptOutcome::TimedOut => view.loads.note_silent(boot_now(), &chosen.name),
-        _ => view.loads.note_failure(boot_now(), &chosen.name),
+        AttemptOutcome::NotRun { arrived: false } => view.loads.record_unreachable(boot_now(), &chosen.name),
+        AttemptOutcome::Lost | AttemptOutcome::TimedOut => view.loads.record_silence(boot_now(), &chosen.name),
+        _ => view.loads.record_failure(boot_now(), &chosen.name),
     }
     drop(view);
     outcome
@@ -210,6 +210,6 @@
     slog::info!(call.shared.log, "endpoint is doubted"; "event" => event::ENDPOINT_DOUBTED,
         "request" => &call.head.request, "endpoint" => chosen.name.as_str(),
         "sent_ms" => whole_millis(now.since(sent_at)), "report" => chosen.endpoint.sequence);
-    call.shared.view().loads.note_silent(now, &chosen.name);
+    call.shared.view().loads.record_silence(now, &chosen.name);
     std::future::pending().await
 }
--- a/crates/acacia-entry/src/serving/choice.rs
+++ b/crates/acacia-entry/src/serving/choice.rs
@@ -113,7 +113,9 @@
     stage: EngineStage,
 ) -> Vec<Row<'view>> {
     let mut rows = view.registry.ready(now, service);
-    rows.retain(|(name, endpoint)| endpoint.stage == Some(stage) && !view.loads.is_resting(now, name, endpoint));
+    rows.retain(|(name, endpoint)| {
+        endpoint.stage == Some(stage) && !view.loads.is_switching_stage(now, name, endpoint)
+    });
     rows
 }
 
--- a/crates/acacia-entry/src/serving/control_sessions.rs
+++ b/crates/acacia-entry/src/serving/control_sessions.rs
@@ -292,8 +292,8 @@
             return Ok(());
         }
         view.entries = entries;
-        view.loads.hear_others(others.iter().map(use_from_wire));
-        view.loads.hear_silent(silent.iter().map(EndpointName::new));
+        view.loads.set_peer_work(others.iter().map(use_from_wire));
+        view.loads.set_peer_suspicions(silent.iter().map(EndpointName::new));
         for kept in &kept {
             view.hear_kept(&kept_from_wire(kept));
         }
--- a/crates/acacia-entry/src/serving/endpoint_news.rs
+++ b/crates/acacia-entry/src/serving/endpoint_news.rs
@@ -8,7 +8,7 @@
 use acacia_wire::{endpoint_from_wire, stage_from_wire};
 use acaciabay::core::clock::BootTime;
 use acaciabay::core::name::EndpointName;
-use acaciabay::core::serving::endpoint_load::RestingOrder;
+use acaciabay::core::serving::endpoint_load::StageSwitch;
 use acaciabay::core::serving::endpoint_registry::{EndpointBirth, ReportEffect};
 
 use super::shared::EntryShared;
@@ -42,11 +42,11 @@
         .engines
         .iter()
         .filter_map(|engine| resting_from_wire(now, engine));
-    shared.view().loads.hear_resting(engines);
+    shared.view().loads.set_stage_switches(engines);
 }
 
-fn resting_from_wire(now: BootTime, engine: &RestingEngine) -> Option<(EndpointName, RestingOrder)> {
-    let order = RestingOrder {
+fn resting_from_wire(now: BootTime, engine: &RestingEngine) -> Option<(EndpointName, StageSwitch)> {
+    let order = StageSwitch {
         birth: EndpointBirth(engine.birth),
         stage: stage_from_wire(engine.stage())?,
         until: now + Duration::from_millis(engine.left_ms),
--- a/crates/acacia-entry/src/serving/plain_call.rs
+++ b/crates/acacia-entry/src/serving/plain_call.rs
@@ -171,15 +171,15 @@
     let Ok(Some(whole)) = tokio::time::timeout(left, read_whole(incoming)).await else {
         slog::info!(call.shared.log, "answer broke off"; "event" => event::ATTEMPT_FAILED,
             "request" => &call.head.request, "endpoint" => chosen.name.as_str());
-        call.shared.view().loads.note_failure(boot_now(), &chosen.name);
+        call.shared.view().loads.record_failure(boot_now(), &chosen.name);
         return None;
     };
     connection.give_back(call).await;
     let mut view = call.shared.view();
     if status.is_server_error() {
-        view.loads.note_failure(boot_now(), &chosen.name);
+        view.loads.record_failure(boot_now(), &chosen.name);
     } else {
-        view.loads.note_success(&chosen.name);
+        view.loads.record_success(&chosen.name);
     }
     drop(view);
     Some(assemble(status, headers, full_body(whole)))
--- a/crates/acacia-entry/src/serving/prompt_read.rs
+++ b/crates/acacia-entry/src/serving/prompt_read.rs
@@ -204,9 +204,9 @@
     {
         slog::info!(call.shared.log, "copy source is gone"; "event" => event::ATTEMPT_FAILED,
             "request" => &call.head.request, "endpoint" => source.name.as_str(), "took_ms" => whole_millis(took));
-        view.loads.note_unreachable(boot_now(), &source.name);
+        view.loads.record_unreachable(boot_now(), &source.name);
     }
-    view.loads.note_success(&chosen.name);
+    view.loads.record_success(&chosen.name);
     view.kept_news.note_read(&chosen.name, prompt.shared_parts());
     drop(view);
     ReadOutcome::Read(ReadPrompt {
@@ -240,7 +240,7 @@
     if handle.is_none() {
         slog::info!(call.shared.log, "prompt was not read"; "event" => event::PROMPT_READ,
             "request" => &call.head.request, "endpoint" => chosen.name.as_str(), "status" => status.as_u16());
-        call.shared.view().loads.note_failure(boot_now(), &chosen.name);
+        call.shared.view().loads.record_failure(boot_now(), &chosen.name);
     }
     handle
 }
--- a/crates/acacia-entry/src/serving/shared.rs
+++ b/crates/acacia-entry/src/serving/shared.rs
@@ -108,7 +108,7 @@
     /// Notes how long an engine of a service took for a prompt.
     pub(super) fn note_reading(&mut self, service: &ServiceName, engine: &EndpointName, reading: ReadingTime) {
         let usual = self.own_pace(service);
-        self.loads.note_reading(engine, reading, usual);
+        self.loads.record_prefill_time(engine, reading, usual);
         self.paces.entry(service.clone()).or_default().note(reading);
     }
 
--- a/crates/acacia-entry/src/serving/stream_call.rs
+++ b/crates/acacia-entry/src/serving/stream_call.rs
@@ -139,7 +139,7 @@
                     self.ran += 1;
                     let (parts, incoming) = reply.response.into_parts();
                     if parts.status.is_server_error() && self.may_go_on() {
-                        self.call.shared.view().loads.note_failure(boot_now(), &chosen.name);
+                        self.call.shared.view().loads.record_failure(boot_now(), &chosen.name);
                         read = None;
                         tried.push(chosen.name);
                         continue;
--- a/crates/acaciabay/src/core/serving/endpoint_load.rs
+++ b/crates/acaciabay/src/core/serving/endpoint_load.rs
@@ -46,19 +46,19 @@
 
 /// Time for which an endpoint is suspected after its first failure. Each further failure doubles it. A suspected
 /// endpoint is used only if there is no other.
-const FIRST_SUSPICION: Duration = Duration::from_millis(300);
+const INITIAL_SUSPICION: Duration = Duration::from_millis(300);
 /// Minimum time for which a silent endpoint is suspected: long enough for other entries to hear of it.
-const SILENT_SUSPICION: Duration = Duration::from_secs(1);
+const MIN_SILENCE_SUSPICION: Duration = Duration::from_secs(1);
 /// Maximum time for which an endpoint is suspected. A recovered endpoint is noticed within this time.
-const LONGEST_SUSPICION: Duration = Duration::from_secs(3);
+const MAX_SUSPICION: Duration = Duration::from_secs(3);
 /// Assumed prefill time per token, in milliseconds, of an engine without measurements: the middle of current engines.
-const FIRST_PACE: f64 = 0.02;
+const DEFAULT_PACE: f64 = 0.02;
 /// Weight of a new measurement in the moving average of the pace.
-const PACE_STEP: f64 = 0.1;
+const PACE_WEIGHT: f64 = 0.1;
 
 /// A change of stage that an engine has been ordered to make and has not yet completed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RestingOrder {
+pub struct StageSwitch {
     /// The incarnation of the engine that received the order.
     pub birth: EndpointBirth,
     /// The stage that the engine reports once the change is complete.
@@ -70,7 +70,7 @@
 #[derive(Clone, Debug, Default)]
 struct LoadRow {
     own: EndpointWork,
-    others: EndpointWork,
+    peers: EndpointWork,
     memory: PartMemory,
     failures: u32,
     suspected_until: BootTime,
@@ -78,8 +78,8 @@
     /// reached.
     silent_until: BootTime,
     /// Set while the control group reports that other entries find the endpoint silent.
-    is_silent_to_others: bool,
-    resting: Option<RestingOrder>,
+    is_silent_to_peers: bool,
+    stage_switch: Option<StageSwitch>,
     pace: Option<f64>,
 }
 
@@ -94,7 +94,7 @@
     pub fn work(&self, name: &EndpointName) -> EndpointWork {
         self.rows
             .get(name)
-            .map(|row| row.own.plus(row.others))
+            .map(|row| row.own.plus(row.peers))
             .unwrap_or_default()
     }
 
@@ -117,12 +117,12 @@
     }
 
     /// Replaces the outstanding work of the other entries.
-    pub fn hear_others(&mut self, works: impl IntoIterator<Item = (EndpointName, EndpointWork)>) {
+    pub fn set_peer_work(&mut self, works: impl IntoIterator<Item = (EndpointName, EndpointWork)>) {
         for row in self.rows.values_mut() {
-            row.others = EndpointWork::default();
+            row.peers = EndpointWork::default();
         }
         for (name, work) in works {
-            self.row(&name).others = work;
+            self.row(&name).peers = work;
         }
     }
 
@@ -138,44 +138,44 @@
 
     /// Records how long an endpoint took to prefill a prompt. `usual` is the pace of its service, if known, and is the
     /// starting value of the endpoint's own average.
-    pub fn note_reading(&mut self, name: &EndpointName, reading: ReadingTime, usual: Option<f64>) {
+    pub fn record_prefill_time(&mut self, name: &EndpointName, reading: ReadingTime, usual: Option<f64>) {
         let Some(measured) = reading.pace() else { return };
         let row = self.row(name);
-        let before = row.pace.or(usual).unwrap_or(FIRST_PACE);
-        row.pace = Some(before + PACE_STEP * (measured - before));
+        let before = row.pace.or(usual).unwrap_or(DEFAULT_PACE);
+        row.pace = Some(before + PACE_WEIGHT * (measured - before));
     }
 
     /// Returns the endpoint's prefill time per token, in milliseconds. Falls back to the `usual` pace of its service,
     /// since with hundreds of entries and engines an entry has measured few of the engines itself.
     pub fn pace(&self, name: &EndpointName, usual: Option<f64>) -> f64 {
         let measured = self.rows.get(name).and_then(|row| row.pace);
-        measured.or(usual).unwrap_or(FIRST_PACE)
+        measured.or(usual).unwrap_or(DEFAULT_PACE)
     }
 
     /// Records a failure for which the endpoint is probably to blame.
-    pub fn note_failure(&mut self, now: BootTime, name: &EndpointName) {
+    pub fn record_failure(&mut self, now: BootTime, name: &EndpointName) {
         let row = self.row(name);
         let doublings = row.failures.min(8);
-        let suspicion = FIRST_SUSPICION * 2_u32.pow(doublings);
+        let suspicion = INITIAL_SUSPICION * 2_u32.pow(doublings);
         row.failures += 1;
-        row.suspected_until = now + suspicion.min(LONGEST_SUSPICION);
+        row.suspected_until = now + suspicion.min(MAX_SUSPICION);
     }
 
     /// Records that no connection to an endpoint could be made. The endpoint is suspected for the maximum time at once:
     /// it is unlikely to recover quickly, and each further try costs a call the time of a connection attempt.
-    pub fn note_unreachable(&mut self, now: BootTime, name: &EndpointName) {
+    pub fn record_unreachable(&mut self, now: BootTime, name: &EndpointName) {
         let row = self.row(name);
         row.failures += 1;
-        row.suspected_until = now + LONGEST_SUSPICION;
+        row.suspected_until = now + MAX_SUSPICION;
         row.silent_until = row.suspected_until;
     }
 
     /// Records that an endpoint does not answer, or that its answer was lost. The endpoint is also reported to the
     /// other entries, since their calls may be lost in the same way.
-    pub fn note_silent(&mut self, now: BootTime, name: &EndpointName) {
-        self.note_failure(now, name);
+    pub fn record_silence(&mut self, now: BootTime, name: &EndpointName) {
+        self.record_failure(now, name);
         let row = self.row(name);
-        row.suspected_until = row.suspected_until.max(now + SILENT_SUSPICION);
+        row.suspected_until = row.suspected_until.max(now + MIN_SILENCE_SUSPICION);
         row.silent_until = row.suspected_until;
     }
 
@@ -186,17 +186,17 @@
     }
 
     /// Replaces the set of endpoints that other entries find silent.
-    pub fn hear_silent(&mut self, endpoints: impl IntoIterator<Item = EndpointName>) {
+    pub fn set_peer_suspicions(&mut self, endpoints: impl IntoIterator<Item = EndpointName>) {
         for row in self.rows.values_mut() {
-            row.is_silent_to_others = false;
+            row.is_silent_to_peers = false;
         }
         for name in endpoints {
-            self.row(&name).is_silent_to_others = true;
+            self.row(&name).is_silent_to_peers = true;
         }
     }
 
     /// Records a successful answer. It cancels one failure; when none is left, the entry's own suspicion ends.
-    pub fn note_success(&mut self, name: &EndpointName) {
+    pub fn record_success(&mut self, name: &EndpointName) {
         let row = self.row(name);
         row.failures = row.failures.saturating_sub(1);
         if row.failures == 0 {
@@ -208,24 +208,24 @@
     /// Returns `true` if the endpoint has failed recently or other entries find it silent.
     pub fn is_suspected(&self, now: BootTime, name: &EndpointName) -> bool {
         let row = self.rows.get(name);
-        row.is_some_and(|row| now < row.suspected_until || row.is_silent_to_others)
+        row.is_some_and(|row| now < row.suspected_until || row.is_silent_to_peers)
     }
 
     /// Replaces the set of engines that are changing their stage.
-    pub fn hear_resting(&mut self, engines: impl IntoIterator<Item = (EndpointName, RestingOrder)>) {
+    pub fn set_stage_switches(&mut self, engines: impl IntoIterator<Item = (EndpointName, StageSwitch)>) {
         for row in self.rows.values_mut() {
-            row.resting = None;
+            row.stage_switch = None;
         }
         for (name, order) in engines {
-            self.row(&name).resting = Some(order);
+            self.row(&name).stage_switch = Some(order);
         }
     }
 
     /// Returns `true` while an engine is changing its stage and takes no calls. The change is complete once the engine
     /// reports the ordered stage.
-    pub fn is_resting(&self, now: BootTime, name: &EndpointName, endpoint: &ServingEndpoint) -> bool {
-        let resting = self.rows.get(name).and_then(|row| row.resting);
-        resting.is_some_and(|order| {
+    pub fn is_switching_stage(&self, now: BootTime, name: &EndpointName, endpoint: &ServingEndpoint) -> bool {
+        let stage_switch = self.rows.get(name).and_then(|row| row.stage_switch);
+        stage_switch.is_some_and(|order| {
             order.birth == endpoint.birth && now < order.until && endpoint.stage != Some(order.stage)
         })
     }
--- a/crates/acaciabay/tests/serving/placement.rs
+++ b/crates/acaciabay/tests/serving/placement.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use acaciabay::core::name::{DomainName, EndpointName};
-use acaciabay::core::serving::endpoint_load::{EndpointWork, LoadTable, RestingOrder};
+use acaciabay::core::serving::endpoint_load::{EndpointWork, LoadTable, StageSwitch};
 use acaciabay::core::serving::endpoint_registry::{EndpointBirth, EngineStage, ServingEndpoint};
 use acaciabay::ops::place_call::{PlacementView, place_plain, place_stream};
 use acaciabay::util::rendezvous;
@@ -70,22 +70,22 @@
     let mut loads = LoadTable::default();
     let making = numbered(1, "a", EngineStage::Decode);
     let reading = numbered(1, "a", EngineStage::Prefill);
-    let order = RestingOrder {
+    let order = StageSwitch {
         birth: making.birth,
         stage: EngineStage::Prefill,
         until: at(11_000),
     };
 
-    loads.hear_resting([(name("e"), order)]);
+    loads.set_stage_switches([(name("e"), order)]);
 
-    assert!(loads.is_resting(at(5_000), &name("e"), &making));
-    assert!(!loads.is_resting(at(5_000), &name("e"), &reading));
-    assert!(!loads.is_resting(at(11_000), &name("e"), &making));
+    assert!(loads.is_switching_stage(at(5_000), &name("e"), &making));
+    assert!(!loads.is_switching_stage(at(5_000), &name("e"), &reading));
+    assert!(!loads.is_switching_stage(at(11_000), &name("e"), &making));
     let restarted = ServingEndpoint {
         birth: EndpointBirth(2_000),
         ..making
     };
-    assert!(!loads.is_resting(at(5_000), &name("e"), &restarted));
+    assert!(!loads.is_switching_stage(at(5_000), &name("e"), &restarted));
 }
 
 #[test]
--- a/crates/acaciabay/tests/serving/reading.rs
+++ b/crates/acaciabay/tests/serving/reading.rs
@@ -83,11 +83,11 @@
     let mut loads = LoadTable::default();
     let home = place(&loads, &rows, 5);
 
-    loads.note_failure(at(0), &home);
+    loads.record_failure(at(0), &home);
     assert_ne!(place(&loads, &rows, 5), home);
 
     for (name, _) in &rows {
-        loads.note_failure(at(0), name);
+        loads.record_failure(at(0), name);
     }
     assert_eq!(place(&loads, &rows, 5), home);
 }
@@ -270,7 +270,7 @@
     let (expected, in_vain) = (Duration::from_millis(40), Duration::from_millis(305));
 
     assert!(is_source_lost(&leaving, expected, in_vain));
-    loads.note_unreachable(at(0), &home);
+    loads.record_unreachable(at(0), &home);
     let place = place_with(&loads, &readers, &all, true, 5);
 
     assert_ne!(place.copy_from, Some(home));
@@ -286,7 +286,7 @@
     let mut loads = LoadTable::default();
     let home = place_copying(&loads, &readers, 5).endpoint;
 
-    loads.note_failure(at(0), &home);
+    loads.record_failure(at(0), &home);
     let place = place_copying(&loads, &readers, 5);
 
     assert_ne!(place.endpoint, home);
--- a/crates/acaciabay/tests/serving/silence.rs
+++ b/crates/acaciabay/tests/serving/silence.rs
@@ -23,13 +23,13 @@
     let suspicions = [(domains[0].clone(), name("e")), (domains[1].clone(), name("e"))];
 
     let mut other = LoadTable::default();
-    other.hear_silent(shared(&suspicions));
+    other.set_peer_suspicions(shared(&suspicions));
 
     assert!(other.is_suspected(at(0), &name("e")));
     assert!(!other.is_suspected(at(0), &name("f")));
     // A shared suspicion ends when the other entries withdraw it, and this entry does not report it as its own.
     assert_eq!(other.silent_endpoints(at(0)).count(), 0);
-    other.hear_silent([]);
+    other.set_peer_suspicions([]);
     assert!(!other.is_suspected(at(0), &name("e")));
 }
 
@@ -66,10 +66,10 @@
 #[test]
 fn an_answer_ends_the_doubt() {
     let mut loads = LoadTable::default();
-    loads.note_silent(at(0), &name("e"));
+    loads.record_silence(at(0), &name("e"));
     assert_eq!(loads.silent_endpoints(at(500)).count(), 1);
 
-    loads.note_success(&name("e"));
+    loads.record_success(&name("e"));
 
     assert_eq!(loads.silent_endpoints(at(500)).count(), 0);
     assert!(!loads.is_suspected(at(500), &name("e")));
