--- a/crates/acacia-entry/src/serving/prompt_read.rs
+++ b/crates/acacia-entry/src/serving/prompt_read.rs
@@ -164,7 +164,10 @@
     };
     // Noted before the answer: calls that come meanwhile with the same parts belong there as well.
     let memory = call.shared.engine_memory(&call.service);
-    call.shared.view().loads.note_read(&chosen.name, &prompt.parts, memory);
+    call.shared
+        .view()
+        .loads
+        .record_prefill(&chosen.name, &prompt.parts, memory);
     let outcome = send(
         call,
         chosen,
@@ -207,7 +210,7 @@
         view.loads.record_unreachable(boot_now(), &source.name);
     }
     view.loads.record_success(&chosen.name);
-    view.kept_news.note_read(&chosen.name, prompt.shared_parts());
+    view.kept_news.record_prefill(&chosen.name, prompt.shared_parts());
     drop(view);
     ReadOutcome::Read(ReadPrompt {
         address: chosen.endpoint.address,
--- a/crates/acacia-entry/src/serving/shared.rs
+++ b/crates/acacia-entry/src/serving/shared.rs
@@ -102,7 +102,7 @@
         let service = endpoint.service.clone();
         let memory = self.engine(&service).map_or(0, |engine| engine.memory_tokens);
         self.kept_news.hear(kept);
-        self.loads.note_read(&kept.engine, &[kept.part], memory);
+        self.loads.record_prefill(&kept.engine, &[kept.part], memory);
     }
 
     /// Notes how long an engine of a service took for a prompt.
--- a/crates/acaciabay/src/core/serving/endpoint_load.rs
+++ b/crates/acaciabay/src/core/serving/endpoint_load.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use super::endpoint_registry::{EndpointBirth, EngineStage, ServingEndpoint};
-use super::part_memory::PartMemory;
+use super::part_memory::PromptCacheEstimate;
 use super::prompt::PromptPart;
 use super::reading_pace::ReadingTime;
 use crate::core::clock::BootTime;
@@ -71,7 +71,7 @@
 struct LoadRow {
     own: EndpointWork,
     peers: EndpointWork,
-    memory: PartMemory,
+    cache: PromptCacheEstimate,
     failures: u32,
     suspected_until: BootTime,
     /// End of the period in which this entry reports the endpoint as silent, because it did not answer or could not be
@@ -127,13 +127,15 @@
     }
 
     /// Returns the length, in tokens, of the prompt prefix that the endpoint is believed to have cached.
-    pub fn kept_tokens(&self, name: &EndpointName, parts: &[PromptPart]) -> u64 {
-        self.rows.get(name).map_or(0, |row| row.memory.kept_tokens(parts))
+    pub fn cached_prefix_tokens(&self, name: &EndpointName, parts: &[PromptPart]) -> u64 {
+        self.rows
+            .get(name)
+            .map_or(0, |row| row.cache.cached_prefix_tokens(parts))
     }
 
     /// Records that the endpoint has prefilled these parts. `capacity` is the size of its memory in tokens.
-    pub fn note_read(&mut self, name: &EndpointName, parts: &[PromptPart], capacity: u64) {
-        self.row(name).memory.note_read(parts, capacity);
+    pub fn record_prefill(&mut self, name: &EndpointName, parts: &[PromptPart], capacity: u64) {
+        self.row(name).cache.record_prefill(parts, capacity);
     }
 
     /// Records how long an endpoint took to prefill a prompt. `usual` is the pace of its service, if known, and is the
--- a/crates/acaciabay/src/core/serving/kept_parts.rs
+++ b/crates/acaciabay/src/core/serving/kept_parts.rs
@@ -82,7 +82,7 @@
 
 impl KeptNews {
     /// Queues announcements that an engine has cached these parts, except for those that are already known.
-    pub fn note_read(&mut self, engine: &EndpointName, parts: &[PromptPart]) {
+    pub fn record_prefill(&mut self, engine: &EndpointName, parts: &[PromptPart]) {
         let told = self.told.entry(engine.clone()).or_default();
         for part in parts {
             if told.insert(part.id) {
--- a/crates/acaciabay/src/core/serving/part_memory.rs
+++ b/crates/acaciabay/src/core/serving/part_memory.rs
@@ -6,38 +6,38 @@
 
 /// Estimate of one endpoint's prompt cache. The least recently used part is evicted first.
 #[derive(Clone, Debug, Default)]
-pub struct PartMemory {
-    parts: HashMap<PartId, RememberedPart>,
+pub struct PromptCacheEstimate {
+    parts: HashMap<PartId, CachedPartUse>,
     by_use: BTreeMap<u64, PartId>,
     tokens: u64,
     uses: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct RememberedPart {
+struct CachedPartUse {
     tokens: u64,
     used: u64,
 }
 
-impl PartMemory {
+impl PromptCacheEstimate {
     /// Returns the length of the cached prefix of a prompt in tokens: the parts before the first one that is not
     /// cached.
-    pub fn kept_tokens(&self, parts: &[PromptPart]) -> u64 {
+    pub fn cached_prefix_tokens(&self, parts: &[PromptPart]) -> u64 {
         let kept = parts.iter().take_while(|part| self.parts.contains_key(&part.id));
         kept.map(|part| part.tokens).sum()
     }
 
     /// Records that the endpoint has prefilled these parts. Evicts the least recently used ones until the rest fits
     /// into `capacity` tokens.
-    pub fn note_read(&mut self, parts: &[PromptPart], capacity: u64) {
+    pub fn record_prefill(&mut self, parts: &[PromptPart], capacity: u64) {
         for part in parts {
             self.uses += 1;
             let used = self.uses;
-            let fresh = RememberedPart {
+            let entry = CachedPartUse {
                 tokens: part.tokens,
                 used,
             };
-            if let Some(known) = self.parts.insert(part.id, fresh) {
+            if let Some(known) = self.parts.insert(part.id, entry) {
                 self.by_use.remove(&known.used);
                 self.tokens -= known.tokens;
             }
--- a/crates/acaciabay/src/ops/place_prompt.rs
+++ b/crates/acaciabay/src/ops/place_prompt.rs
@@ -201,7 +201,7 @@
         let mut ranked: Vec<_> = sound
             .map(|keeper| {
                 (
-                    view.loads.kept_tokens(keeper.0, shared),
+                    view.loads.cached_prefix_tokens(keeper.0, shared),
                     hash_rank(&key, keeper.0),
                     *keeper,
                 )
@@ -239,10 +239,12 @@
         homes: &PartHomes<'_>,
     ) -> Self {
         let (name, endpoint) = reader;
-        let kept = view.loads.kept_tokens(name, &prompt.parts) as f64;
+        let kept = view.loads.cached_prefix_tokens(name, &prompt.parts) as f64;
         let shared: u64 = prompt.shared_parts().iter().map(|part| part.tokens).sum();
         let missing = (shared as f64 - kept).max(0.0);
-        let source_kept = source.map_or(0, |(source, _)| view.loads.kept_tokens(source, prompt.shared_parts()));
+        let source_kept = source.map_or(0, |(source, _)| {
+            view.loads.cached_prefix_tokens(source, prompt.shared_parts())
+        });
         let copied = (source_kept as f64 - kept).max(0.0);
         let hoped = COPY_TRUST * copied;
         let copy_ms = match (engines.link, source) {
--- a/crates/acaciabay/tests/serving/keeping.rs
+++ b/crates/acaciabay/tests/serving/keeping.rs
@@ -38,8 +38,8 @@
 
     let mut news = KeptNews::default();
     news.hear(&kept("e1", 5));
-    news.note_read(&name("e1"), &[part(5, 100), part(6, 100)]);
-    news.note_read(&name("e1"), &[part(6, 100)]);
+    news.record_prefill(&name("e1"), &[part(5, 100), part(6, 100)]);
+    news.record_prefill(&name("e1"), &[part(6, 100)]);
 
     assert_eq!(news.take(), vec![kept("e1", 6)]);
     assert_eq!(news.take(), Vec::new());
--- a/crates/acaciabay/tests/serving/prompts.rs
+++ b/crates/acaciabay/tests/serving/prompts.rs
@@ -1,6 +1,6 @@
 //! Tests of the estimate of an endpoint's prompt cache.
 
-use acaciabay::core::serving::part_memory::PartMemory;
+use acaciabay::core::serving::part_memory::PromptCacheEstimate;
 use acaciabay::core::serving::prompt::PartId;
 use proptest::prelude::*;
 
@@ -8,11 +8,14 @@
 
 #[test]
 fn only_the_parts_from_the_first_on_are_kept() {
-    let mut memory = PartMemory::default();
-    memory.note_read(&[part(2, 100), part(3, 100)], 1_000);
+    let mut memory = PromptCacheEstimate::default();
+    memory.record_prefill(&[part(2, 100), part(3, 100)], 1_000);
 
-    assert_eq!(memory.kept_tokens(&[part(1, 100), part(2, 100)]), 0);
-    assert_eq!(memory.kept_tokens(&[part(2, 100), part(1, 100), part(3, 100)]), 100);
+    assert_eq!(memory.cached_prefix_tokens(&[part(1, 100), part(2, 100)]), 0);
+    assert_eq!(
+        memory.cached_prefix_tokens(&[part(2, 100), part(1, 100), part(3, 100)]),
+        100
+    );
 }
 
 #[test]
@@ -28,10 +31,10 @@
     #[test]
     fn the_longest_unused_parts_go_first(uses in prop::collection::vec((0_u64..8, 1_u64..50), 1..60)) {
         const CAPACITY: u64 = 120;
-        let mut memory = PartMemory::default();
+        let mut memory = PromptCacheEstimate::default();
         let mut list: Vec<(u64, u64)> = Vec::new();
         for (id, tokens) in uses {
-            memory.note_read(&[part(id, tokens)], CAPACITY);
+            memory.record_prefill(&[part(id, tokens)], CAPACITY);
             list.retain(|known| known.0 != id);
             list.push((id, tokens));
             while list.iter().map(|known| known.1).sum::<u64>() > CAPACITY {
@@ -40,7 +43,7 @@
         }
         prop_assert_eq!(memory.tokens(), list.iter().map(|known| known.1).sum::<u64>());
         for (id, tokens) in list {
-            prop_assert_eq!(memory.kept_tokens(&[part(id, tokens)]), tokens);
+            prop_assert_eq!(memory.cached_prefix_tokens(&[part(id, tokens)]), tokens);
         }
     }
 }
--- a/crates/acaciabay/tests/serving/reading.rs
+++ b/crates/acaciabay/tests/serving/reading.rs
@@ -66,7 +66,7 @@
     let rows = rows(7, EngineStage::Prefill);
     let mut loads = LoadTable::default();
     let home = place(&loads, &rows, 5);
-    loads.note_read(&home, &prompt(5, 1).parts, 400_000);
+    loads.record_prefill(&home, &prompt(5, 1).parts, 400_000);
 
     loads.begin(&home, unread(60_000));
     assert_eq!(place(&loads, &rows, 5), home);
@@ -99,7 +99,7 @@
     let readers = rows(7, EngineStage::Prefill);
     let mut loads = LoadTable::default();
     let home = place_copying(&loads, &readers, 5).endpoint;
-    loads.note_read(&home, prompt(5, 99).shared_parts(), 400_000);
+    loads.record_prefill(&home, prompt(5, 99).shared_parts(), 400_000);
 
     loads.begin(&home, unread(60_000));
     let other = place_copying(&loads, &readers, 5);
@@ -131,7 +131,7 @@
     let readers = rows(7, EngineStage::Prefill);
     let mut loads = LoadTable::default();
     let home = place_copying(&loads, &readers, 5).endpoint;
-    loads.note_read(&home, prompt(5, 99).shared_parts(), 400_000);
+    loads.record_prefill(&home, prompt(5, 99).shared_parts(), 400_000);
 
     loads.begin(&home, unread(17_000));
     let other = place_copying(&loads, &readers, 5);
@@ -147,7 +147,7 @@
     let readers = rows(7, EngineStage::Prefill);
     let mut loads = LoadTable::default();
     let home = place_copying(&loads, &readers, 5).endpoint;
-    loads.note_read(&home, prompt(5, 99).shared_parts(), 400_000);
+    loads.record_prefill(&home, prompt(5, 99).shared_parts(), 400_000);
     for (name, _) in &readers {
         loads.begin(name, unread(1_000));
     }
