--- a/crates/acacia-entry/src/serving/prompt_read.rs
+++ b/crates/acacia-entry/src/serving/prompt_read.rs
@@ -10,7 +10,7 @@
 use acaciabay::core::name::{DomainName, EndpointName};
 use acaciabay::core::serving::endpoint_load::EndpointWork;
 use acaciabay::core::serving::prompt::PromptShape;
-use acaciabay::core::serving::reading_pace::ReadingTime;
+use acaciabay::core::serving::reading_pace::PrefillTime;
 use acaciabay::ops::place_prompt::{PromptPlace, is_source_lost};
 use acaciabay::util::number::whole_millis;
 use bytes::Bytes;
@@ -196,7 +196,7 @@
     metrics::histogram!("acacia_prompt_read_seconds").record(took.as_secs_f64());
     metrics::histogram!("acacia_prompt_wait_error_seconds").record(took.as_secs_f64() - place.wait.as_secs_f64());
     let mut view = call.shared.view();
-    let reading = ReadingTime {
+    let reading = PrefillTime {
         queued,
         unread: place.unread_tokens,
         took,
--- a/crates/acacia-entry/src/serving/shared.rs
+++ b/crates/acacia-entry/src/serving/shared.rs
@@ -21,7 +21,7 @@
 use acaciabay::core::serving::kept_parts::{KeptNews, KeptPart};
 use acaciabay::core::serving::lease_recovery::LeaseOutage;
 use acaciabay::core::serving::prompt::PromptShape;
-use acaciabay::core::serving::reading_pace::{ReadingPace, ReadingTime};
+use acaciabay::core::serving::reading_pace::{PrefillPace, PrefillTime};
 use acaciabay::core::serving::send_budget::{SendBound, SendBudget};
 use acaciabay::core::serving::start_counts::{StartCounts, WindowNumber};
 use acaciabay::core::serving::stop_phase::StopPhase;
@@ -73,7 +73,7 @@
     /// What engines have read for this entry and for others.
     pub(super) kept_news: KeptNews,
     pub(super) demands: BTreeMap<ServiceName, DemandCount>,
-    paces: BTreeMap<ServiceName, ReadingPace>,
+    paces: BTreeMap<ServiceName, PrefillPace>,
     answer_paces: BTreeMap<ServiceName, AnswerLatency>,
     budgets: HashMap<ServiceName, SendBudget>,
 }
@@ -106,10 +106,10 @@
     }
 
     /// Notes how long an engine of a service took for a prompt.
-    pub(super) fn note_reading(&mut self, service: &ServiceName, engine: &EndpointName, reading: ReadingTime) {
+    pub(super) fn note_reading(&mut self, service: &ServiceName, engine: &EndpointName, reading: PrefillTime) {
         let usual = self.own_pace(service);
         self.loads.record_prefill_time(engine, reading, usual);
-        self.paces.entry(service.clone()).or_default().note(reading);
+        self.paces.entry(service.clone()).or_default().record(reading);
     }
 
     /// Notes how long an engine of a service took until it began to make tokens.
--- a/crates/acaciabay/src/core/serving/endpoint_load.rs
+++ b/crates/acaciabay/src/core/serving/endpoint_load.rs
@@ -9,7 +9,7 @@
 use super::endpoint_registry::{EndpointBirth, EngineStage, ServingEndpoint};
 use super::part_memory::PromptCacheEstimate;
 use super::prompt::PromptPart;
-use super::reading_pace::ReadingTime;
+use super::reading_pace::PrefillTime;
 use crate::core::clock::BootTime;
 use crate::core::name::EndpointName;
 
@@ -140,7 +140,7 @@
 
     /// Records how long an endpoint took to prefill a prompt. `usual` is the pace of its service, if known, and is the
     /// starting value of the endpoint's own average.
-    pub fn record_prefill_time(&mut self, name: &EndpointName, reading: ReadingTime, usual: Option<f64>) {
+    pub fn record_prefill_time(&mut self, name: &EndpointName, reading: PrefillTime, usual: Option<f64>) {
         let Some(measured) = reading.pace() else { return };
         let row = self.row(name);
         let before = row.pace.or(usual).unwrap_or(DEFAULT_PACE);
--- a/crates/acaciabay/src/core/serving/reading_need.rs
+++ b/crates/acaciabay/src/core/serving/reading_need.rs
@@ -6,18 +6,18 @@
 use crate::util::number::round_up;
 
 /// Time constant with which the peak of the prefill load decays: to about a third within this time.
-const PEAK_MEMORY: Duration = Duration::from_secs(15);
+const PEAK_DECAY: Duration = Duration::from_secs(15);
 /// Fraction of the distance to a higher measurement by which the peak rises at once. Endpoints are not ordered for a
 /// burst of half a second.
-const PEAK_STEP: f64 = 0.4;
+const PEAK_RISE: f64 = 0.4;
 /// Time for which the need must stay smaller before endpoints are given back.
-const SHRINK_TIME: Duration = Duration::from_secs(10);
+const SHRINK_DELAY: Duration = Duration::from_secs(10);
 /// Target utilization of the prefill engines at the decayed peak.
-const READING_FILL: f64 = 0.7;
+const TARGET_UTILIZATION: f64 = 0.7;
 
 /// Divisor of the initial endpoints that gives the reserve added to them. At the start no engine has cached a shared
 /// part, and until each part has been prefilled once, prefill takes about twice as long as later.
-const START_RESERVE: u32 = 2;
+const INITIAL_RESERVE_DIVISOR: u32 = 2;
 
 /// Prefill load since the previous measurement.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -33,10 +33,10 @@
 pub struct ReadingNeed {
     tokens_per_second: f64,
     readers: f64,
-    looked_at: Option<BootTime>,
+    measured_at: Option<BootTime>,
     needed: u32,
     needed_now: u32,
-    less_since: Option<BootTime>,
+    smaller_since: Option<BootTime>,
     is_started: bool,
     is_measured: bool,
 }
@@ -53,40 +53,40 @@
         let reserve = if has_calls {
             0
         } else {
-            endpoints.div_ceil(START_RESERVE)
+            endpoints.div_ceil(INITIAL_RESERVE_DIVISOR)
         };
         self.needed = endpoints + reserve;
         self.is_started = is_final;
     }
 
-    /// Applies a measurement. `makers` is the number of decode engines that are needed in addition to the prefill
-    /// engines.
-    pub fn measure(&mut self, now: BootTime, measure: ReadingMeasure, makers: u32) {
-        let since = self.looked_at.replace(now).map(|looked_at| now.since(looked_at));
+    /// Applies a measurement. `decode_engines` is the number of decode engines that are needed in addition to the
+    /// prefill engines.
+    pub fn measure(&mut self, now: BootTime, measure: ReadingMeasure, decode_engines: u32) {
+        let since = self.measured_at.replace(now).map(|measured_at| now.since(measured_at));
         let Some(since) = since.filter(|since| !since.is_zero()) else {
             return;
         };
         let rate = measure.unread_tokens as f64 / since.as_secs_f64();
-        let faded = self.tokens_per_second * (-since.as_secs_f64() / PEAK_MEMORY.as_secs_f64()).exp();
-        self.tokens_per_second = faded + PEAK_STEP * (rate - faded).max(0.0);
+        let faded = self.tokens_per_second * (-since.as_secs_f64() / PEAK_DECAY.as_secs_f64()).exp();
+        self.tokens_per_second = faded + PEAK_RISE * (rate - faded).max(0.0);
         if measure.pace <= 0.0 {
             return;
         }
         self.is_measured = true;
-        self.readers = self.tokens_per_second * measure.pace / 1_000.0 / READING_FILL;
+        self.readers = self.tokens_per_second * measure.pace / 1_000.0 / TARGET_UTILIZATION;
         let wanted = u32::try_from(round_up(self.readers))
             .unwrap_or(u32::MAX)
-            .saturating_add(makers);
+            .saturating_add(decode_engines);
         self.needed_now = wanted;
-        let is_less = wanted < self.needed;
-        let less_since = if is_less {
-            Some(*self.less_since.get_or_insert(now))
+        let is_smaller = wanted < self.needed;
+        let smaller_since = if is_smaller {
+            Some(*self.smaller_since.get_or_insert(now))
         } else {
             None
         };
-        if less_since.is_none_or(|less_since| now.since(less_since) >= SHRINK_TIME) {
+        if smaller_since.is_none_or(|smaller_since| now.since(smaller_since) >= SHRINK_DELAY) {
             self.needed = wanted;
-            self.less_since = None;
+            self.smaller_since = None;
         }
     }
 
--- a/crates/acaciabay/src/core/serving/reading_pace.rs
+++ b/crates/acaciabay/src/core/serving/reading_pace.rs
@@ -8,11 +8,11 @@
 
 /// Minimum number of tokens for a usable measurement. The time for fewer tokens depends more on the network than on the
 /// engine.
-const LEAST_MEASURED: u64 = 1_000;
+const MIN_MEASURED_TOKENS: u64 = 1_000;
 
 /// Measured time that an engine took to prefill a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ReadingTime {
+pub struct PrefillTime {
     /// Tokens that were queued at the engine before the prompt, as far as the entry knew.
     pub queued: u64,
     /// Tokens of the prompt that the engine had not cached.
@@ -21,19 +21,19 @@
     pub took: Duration,
 }
 
-impl ReadingTime {
+impl PrefillTime {
     /// Returns the time per token in milliseconds, or `None` if there were too few tokens.
     pub(super) fn pace(self) -> Option<f64> {
         let tokens = self.queued + self.unread;
-        (tokens >= LEAST_MEASURED).then(|| self.took.as_secs_f64() * 1_000.0 / tokens as f64)
+        (tokens >= MIN_MEASURED_TOKENS).then(|| self.took.as_secs_f64() * 1_000.0 / tokens as f64)
     }
 }
 
 /// The pace of one service: prefill time per token in milliseconds.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ReadingPace(Option<f64>);
+pub struct PrefillPace(Option<f64>);
 
-impl ReadingPace {
+impl PrefillPace {
     /// Relative step by which a slower measurement raises the pace.
     const RISE: f64 = 0.005;
     /// Relative step by which a faster measurement lowers the pace. It is ten times `RISE`, so that the pace settles
@@ -41,7 +41,7 @@
     const FALL: f64 = 0.05;
 
     /// Applies a measurement. Ignores it if the prompt had a known queue in front of it.
-    pub fn note(&mut self, reading: ReadingTime) {
+    pub fn record(&mut self, reading: PrefillTime) {
         let Some(measured) = reading.pace().filter(|_| reading.queued == 0) else {
             return;
         };
--- a/crates/acaciabay/src/core/serving/stream_peak.rs
+++ b/crates/acaciabay/src/core/serving/stream_peak.rs
@@ -6,7 +6,7 @@
 
 /// Time constant with which the peak decays: to about a third within this time. Streams come in bursts of a few
 /// seconds, and an engine takes as long to change its stage.
-const PEAK_MEMORY: Duration = Duration::from_secs(10);
+const PEAK_DECAY: Duration = Duration::from_secs(10);
 
 /// Resources that running streams occupy.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -21,18 +21,18 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct StreamPeak {
     demand: StreamDemand,
-    seen_at: BootTime,
+    updated_at: BootTime,
 }
 
 impl StreamPeak {
     /// Updates the peak with the current demand.
     pub fn see(&mut self, now: BootTime, present: StreamDemand) {
-        let faded = (-now.since(self.seen_at).as_secs_f64() / PEAK_MEMORY.as_secs_f64()).exp();
+        let faded = (-now.since(self.updated_at).as_secs_f64() / PEAK_DECAY.as_secs_f64()).exp();
         self.demand = StreamDemand {
             streams: present.streams.max(self.demand.streams * faded),
             held_tokens: present.held_tokens.max(self.demand.held_tokens * faded),
         };
-        self.seen_at = now;
+        self.updated_at = now;
     }
 
     /// Returns the peak as of the last update.
--- a/crates/acaciabay/tests/serving/paces.rs
+++ b/crates/acaciabay/tests/serving/paces.rs
@@ -2,20 +2,20 @@
 
 use std::time::Duration;
 
-use acaciabay::core::serving::reading_pace::{ReadingPace, ReadingTime};
+use acaciabay::core::serving::reading_pace::{PrefillPace, PrefillTime};
 
 /// Length of the test prompts. An idle test engine prefills one in 10 ms.
 const TOKENS: u64 = 3_000;
 
-fn reading(queued: u64, millis: u64) -> ReadingTime {
-    ReadingTime {
+fn reading(queued: u64, millis: u64) -> PrefillTime {
+    PrefillTime {
         queued,
         unread: TOKENS,
         took: Duration::from_millis(millis),
     }
 }
 
-fn value(pace: ReadingPace) -> f64 {
+fn value(pace: PrefillPace) -> f64 {
     pace.get().expect("something was measured")
 }
 
@@ -23,14 +23,14 @@
 /// endpoints as needed would be ordered, and paid for long after the burst.
 #[test]
 fn waiting_in_a_queue_is_not_taken_for_reading() {
-    let mut pace = ReadingPace::default();
+    let mut pace = PrefillPace::default();
     for _ in 0..20 {
-        pace.note(reading(0, 10));
+        pace.record(reading(0, 10));
     }
     let calm = value(pace);
 
     for _ in 0..200 {
-        pace.note(reading(60_000, 1_000));
+        pace.record(reading(60_000, 1_000));
     }
 
     assert!((value(pace) - calm).abs() < f64::EPSILON);
@@ -40,10 +40,10 @@
 /// its parts. The pace must not follow them.
 #[test]
 fn a_few_readings_that_are_off_hardly_move_the_pace() {
-    let mut pace = ReadingPace::default();
+    let mut pace = PrefillPace::default();
     for round in 0..100 {
         let millis = if round % 10 == 0 { 500 } else { 10 };
-        pace.note(reading(0, millis));
+        pace.record(reading(0, millis));
     }
 
     let true_pace = 10.0 / TOKENS as f64;
@@ -54,11 +54,11 @@
 /// all of them take thirty times as long. The need may grow with the incoming work but not with the queueing time.
 #[test]
 fn queues_that_nobody_knows_of_hardly_raise_the_pace() {
-    let mut pace = ReadingPace::default();
-    pace.note(reading(0, 10));
+    let mut pace = PrefillPace::default();
+    pace.record(reading(0, 10));
 
     for _ in 0..100 {
-        pace.note(reading(0, 300));
+        pace.record(reading(0, 300));
     }
 
     let true_pace = 10.0 / TOKENS as f64;
@@ -68,11 +68,11 @@
 /// Engines become slower permanently. The pace follows within a few hundred prompts.
 #[test]
 fn the_pace_follows_engines_that_become_slower() {
-    let mut pace = ReadingPace::default();
-    pace.note(reading(0, 10));
+    let mut pace = PrefillPace::default();
+    pace.record(reading(0, 10));
 
     for _ in 0..300 {
-        pace.note(reading(0, 30));
+        pace.record(reading(0, 30));
     }
 
     let true_pace = 30.0 / TOKENS as f64;
