--- a/crates/acacia-entry/src/serving/prompt_read.rs
+++ b/crates/acacia-entry/src/serving/prompt_read.rs
@@ -10,7 +10,7 @@
 use acaciabay::core::name::{DomainName, EndpointName};
 use acaciabay::core::serving::endpoint_load::EndpointWork;
 use acaciabay::core::serving::prompt::PromptShape;
-use acaciabay::core::serving::reading_pace::ReadingTime;
+use acaciabay::core::serving::reading_pace::PrefillTime;
 use acaciabay::ops::place_prompt::{PromptPlace, is_source_lost};
 use acaciabay::util::number::whole_millis;
 use bytes::Bytes;
@@ -164,7 +164,10 @@
     };
     // Noted before the answer: calls that come meanwhile with the same parts belong there as well.
     let memory = call.shared.engine_memory(&call.service);
-    call.shared.view().loads.note_read(&chosen.name, &prompt.parts, memory);
+    call.shared
+        .view()
+        .loads
+        .record_prefill(&chosen.name, &prompt.parts, memory);
     let outcome = send(
         call,
         chosen,
@@ -193,7 +196,7 @@
     metrics::histogram!("acacia_prompt_read_seconds").record(took.as_secs_f64());
     metrics::histogram!("acacia_prompt_wait_error_seconds").record(took.as_secs_f64() - place.wait.as_secs_f64());
     let mut view = call.shared.view();
-    let reading = ReadingTime {
+    let reading = PrefillTime {
         queued,
         unread: place.unread_tokens,
         took,
@@ -204,10 +207,10 @@
     {
         slog::info!(call.shared.log, "copy source is gone"; "event" => event::ATTEMPT_FAILED,
             "request" => &call.head.request, "endpoint" => source.name.as_str(), "took_ms" => whole_millis(took));
-        view.loads.note_unreachable(boot_now(), &source.name);
+        view.loads.record_unreachable(boot_now(), &source.name);
     }
-    view.loads.note_success(&chosen.name);
-    view.kept_news.note_read(&chosen.name, prompt.shared_parts());
+    view.loads.record_success(&chosen.name);
+    view.kept_news.record_prefill(&chosen.name, prompt.shared_parts());
     drop(view);
     ReadOutcome::Read(ReadPrompt {
         address: chosen.endpoint.address,
@@ -240,7 +243,7 @@
     if handle.is_none() {
         slog::info!(call.shared.log, "prompt was not read"; "event" => event::PROMPT_READ,
             "request" => &call.head.request, "endpoint" => chosen.name.as_str(), "status" => status.as_u16());
-        call.shared.view().loads.note_failure(boot_now(), &chosen.name);
+        call.shared.view().loads.record_failure(boot_now(), &chosen.name);
     }
     handle
 }
--- a/crates/acacia-entry/src/serving/shared.rs
+++ b/crates/acacia-entry/src/serving/shared.rs
@@ -10,7 +10,7 @@
 use acacia_settings::ServingEntrySettings;
 use acaciabay::core::clock::BootTime;
 use acaciabay::core::name::{CustomerName, DomainName, EndpointName, ServiceName};
-use acaciabay::core::serving::answer_pace::AnswerPace;
+use acaciabay::core::serving::answer_pace::AnswerLatency;
 use acaciabay::core::serving::config::EngineSpec;
 use acaciabay::core::serving::config_freshness::ConfigFreshness;
 use acaciabay::core::serving::config_index::ConfigIndex;
@@ -21,7 +21,7 @@
 use acaciabay::core::serving::kept_parts::{KeptNews, KeptPart};
 use acaciabay::core::serving::lease_recovery::LeaseOutage;
 use acaciabay::core::serving::prompt::PromptShape;
-use acaciabay::core::serving::reading_pace::{ReadingPace, ReadingTime};
+use acaciabay::core::serving::reading_pace::{PrefillPace, PrefillTime};
 use acaciabay::core::serving::retry_limiter::{RetryLimit, RetryLimiter};
 use acaciabay::core::serving::start_counts::{StartCounts, WindowNumber};
 use acaciabay::core::serving::stop_phase::StopPhase;
@@ -73,8 +73,8 @@
     /// What engines have read for this entry and for others.
     pub(super) kept_news: KeptNews,
     pub(super) demands: BTreeMap<ServiceName, DemandCount>,
-    paces: BTreeMap<ServiceName, ReadingPace>,
-    answer_paces: BTreeMap<ServiceName, AnswerPace>,
+    paces: BTreeMap<ServiceName, PrefillPace>,
+    answer_paces: BTreeMap<ServiceName, AnswerLatency>,
     budgets: HashMap<ServiceName, RetryLimiter>,
 }
 
@@ -102,24 +102,24 @@
         let service = endpoint.service.clone();
         let memory = self.engine(&service).map_or(0, |engine| engine.memory_tokens);
         self.kept_news.hear(kept);
-        self.loads.note_read(&kept.engine, &[kept.part], memory);
+        self.loads.record_prefill(&kept.engine, &[kept.part], memory);
     }
 
     /// Notes how long an engine of a service took for a prompt.
-    pub(super) fn note_reading(&mut self, service: &ServiceName, engine: &EndpointName, reading: ReadingTime) {
+    pub(super) fn note_reading(&mut self, service: &ServiceName, engine: &EndpointName, reading: PrefillTime) {
         let usual = self.own_pace(service);
-        self.loads.note_reading(engine, reading, usual);
-        self.paces.entry(service.clone()).or_default().note(reading);
+        self.loads.record_prefill_time(engine, reading, usual);
+        self.paces.entry(service.clone()).or_default().record(reading);
     }
 
     /// Notes how long an engine of a service took until it began to make tokens.
     pub(super) fn note_first_answer(&mut self, service: &ServiceName, took: Duration) {
-        self.answer_paces.entry(service.clone()).or_default().note(took);
+        self.answer_paces.entry(service.clone()).or_default().record(took);
     }
 
     /// Returns after which silence an engine of a service that makes tokens is doubted.
     pub(super) fn doubt_after(&self, service: &ServiceName) -> Option<Duration> {
-        self.answer_paces.get(service)?.doubt_after()
+        self.answer_paces.get(service)?.suspicion_timeout()
     }
 
     /// Returns how many milliseconds a service's engines take for a token of a prompt by themselves, if that was measured.
--- a/crates/acaciabay/tests/serving/silence.rs
+++ b/crates/acaciabay/tests/serving/silence.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use acaciabay::core::name::{DomainName, EndpointName};
-use acaciabay::core::serving::answer_pace::AnswerPace;
+use acaciabay::core::serving::answer_pace::AnswerLatency;
 use acaciabay::core::serving::endpoint_load::LoadTable;
 use acaciabay::core::serving::shared_suspicion::shared_suspicions;
 
@@ -23,13 +23,13 @@
     let suspicions = [(domains[0].clone(), name("e")), (domains[1].clone(), name("e"))];
 
     let mut other = LoadTable::default();
-    other.hear_silent(shared(&suspicions));
+    other.set_peer_suspicions(shared(&suspicions));
 
     assert!(other.is_suspected(at(0), &name("e")));
     assert!(!other.is_suspected(at(0), &name("f")));
     // A shared suspicion ends when the other entries withdraw it, and this entry does not report it as its own.
     assert_eq!(other.silent_endpoints(at(0)).count(), 0);
-    other.hear_silent([]);
+    other.set_peer_suspicions([]);
     assert!(!other.is_suspected(at(0), &name("e")));
 }
 
@@ -47,29 +47,29 @@
 /// answers usually begin within 50 ms must be suspected early, since its call is stuck until then.
 #[test]
 fn silence_is_measured_by_what_is_usual() {
-    let mut pace = AnswerPace::default();
-    assert_eq!(pace.doubt_after(), None);
+    let mut pace = AnswerLatency::default();
+    assert_eq!(pace.suspicion_timeout(), None);
 
     for _ in 0..200 {
-        pace.note(Duration::from_millis(50));
+        pace.record(Duration::from_millis(50));
     }
-    assert_eq!(pace.doubt_after(), Some(Duration::from_millis(400)));
+    assert_eq!(pace.suspicion_timeout(), Some(Duration::from_millis(400)));
 
     // Under load all engines are slow, which must not make them suspect.
     for _ in 0..200 {
-        pace.note(Duration::from_millis(900));
+        pace.record(Duration::from_millis(900));
     }
-    assert!(pace.doubt_after() > Some(Duration::from_millis(1_800)));
+    assert!(pace.suspicion_timeout() > Some(Duration::from_millis(1_800)));
 }
 
 /// A suspected engine that answers after all is used again at once, so that its capacity is not lost.
 #[test]
 fn an_answer_ends_the_doubt() {
     let mut loads = LoadTable::default();
-    loads.note_silent(at(0), &name("e"));
+    loads.record_silence(at(0), &name("e"));
     assert_eq!(loads.silent_endpoints(at(500)).count(), 1);
 
-    loads.note_success(&name("e"));
+    loads.record_success(&name("e"));
 
     assert_eq!(loads.silent_endpoints(at(500)).count(), 0);
     assert!(!loads.is_suspected(at(500), &name("e")));
