--- a/crates/acacia-control/src/serving/stage_orders.rs
+++ b/crates/acacia-control/src/serving/stage_orders.rs
@@ -100,10 +100,10 @@
         let work = StageWork {
             present: engines.len(),
             expected: stages.expected,
-            makers: if is_idle { 0 } else { makers },
+            decoders: if is_idle { 0 } else { makers },
             domains: domains.len(),
             demand,
-            readers: stages.readers,
+            prefill_engines: stages.readers,
         };
         let wanted = wanted_decoders(&work, spec);
         stages.wanted_makers = wanted;
--- a/crates/acaciabay/src/ops/plan_stages.rs
+++ b/crates/acaciabay/src/ops/plan_stages.rs
@@ -14,22 +14,22 @@
 
 /// Fraction of an engine's slots and memory that streams may use. Above it each token takes noticeably longer, and no
 /// room is left for a burst.
-const FILL: f64 = 0.5;
+const TARGET_UTILIZATION: f64 = 0.5;
 
 /// Factor by which the prefill load may exceed its recent value. The number of streams grows over seconds, but prompts
 /// arrive all at once, and a change of stage takes seconds.
-const BURST: f64 = 2.0;
+const PREFILL_HEADROOM: f64 = 2.0;
 
 /// Minimum number of engines in each stage, so that the loss of one engine stops neither stage.
-const LEAST_OF_STAGE: usize = 2;
+const MIN_ENGINES_PER_STAGE: usize = 2;
 
 /// Minimum number of engines per decode engine for every failure domain to get a decode engine of its own. A prompt is
 /// then decoded in the domain in which it was prefilled.
-const ENGINES_PER_MAKER: usize = 4;
+const ENGINES_PER_DECODER: usize = 4;
 
 /// Number of engines per decode engine while few streams run. With fewer decode engines, a sudden start of traffic would
 /// find too few, and each change of stage takes seconds.
-const ENGINES_PER_IDLE_MAKER: usize = 16;
+const ENGINES_PER_IDLE_DECODER: usize = 16;
 
 /// A change of an engine's stage.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -48,13 +48,13 @@
     /// Engines that have been ordered, including those that have not started yet.
     pub expected: usize,
     /// Engines that decode now, or 0 while no call runs, since a change of stage then delays no call.
-    pub makers: usize,
+    pub decoders: usize,
     /// Number of failure domains that the engines are in.
     pub domains: usize,
     /// Slots and memory that the running streams use.
     pub demand: StreamDemand,
     /// Engines that the prefill load needs.
-    pub readers: f64,
+    pub prefill_engines: f64,
 }
 
 /// Returns how many engines should decode.
@@ -67,23 +67,23 @@
     if engines < 2 {
         return engines;
     }
-    let by_slots = demand.streams / (FILL * f64::from(spec.slots.max(1)));
-    let by_memory = demand.held_tokens / (FILL * spec.memory_tokens.max(1) as f64);
-    let makers = by_slots.max(by_memory);
+    let by_slots = demand.streams / (TARGET_UTILIZATION * f64::from(spec.slots.max(1)));
+    let by_memory = demand.held_tokens / (TARGET_UTILIZATION * spec.memory_tokens.max(1) as f64);
+    let decoders = by_slots.max(by_memory);
     let present = work.present as f64;
-    let readers = BURST * work.readers;
-    let shared = if makers + readers > present {
-        present * makers / (makers + readers)
+    let prefill_engines = PREFILL_HEADROOM * work.prefill_engines;
+    let divided = if decoders + prefill_engines > present {
+        present * decoders / (decoders + prefill_engines)
     } else {
-        makers
+        decoders
     };
-    let needed = usize::try_from(round_up(shared)).unwrap_or(usize::MAX);
-    let least = LEAST_OF_STAGE.min(engines / 2);
-    let near = (*domains)
-        .min(engines / ENGINES_PER_MAKER)
-        .max(engines / ENGINES_PER_IDLE_MAKER);
-    let wanted = needed.max(near).clamp(least, engines - least);
-    wanted.max(spared_makers(work))
+    let needed = usize::try_from(round_up(divided)).unwrap_or(usize::MAX);
+    let least = MIN_ENGINES_PER_STAGE.min(engines / 2);
+    let by_domains = (*domains)
+        .min(engines / ENGINES_PER_DECODER)
+        .max(engines / ENGINES_PER_IDLE_DECODER);
+    let wanted = needed.max(by_domains).clamp(least, engines - least);
+    wanted.max(retained_decoders(work))
 }
 
 /// Returns how many of the current decode engines may keep decoding although the streams need fewer.
@@ -91,12 +91,13 @@
 /// An engine that changes its stage takes no calls until its longest stream has ended and the change is made. In the next
 /// burst it is missing from decode, so that all streams slow down and the longest miss their deadlines. So engines change
 /// only if prefill needs them, where the need allows for the loss of a failure domain.
-fn spared_makers(work: &StageWork) -> usize {
+fn retained_decoders(work: &StageWork) -> usize {
     let domains = work.domains.max(2) as f64;
-    let readers = BURST * work.readers * domains / (domains - 1.0);
-    let readers = usize::try_from(round_up(readers)).unwrap_or(usize::MAX);
-    let least = LEAST_OF_STAGE.min(work.present / 2);
-    work.makers.min(work.present.saturating_sub(readers.max(least)))
+    let prefill_engines = PREFILL_HEADROOM * work.prefill_engines * domains / (domains - 1.0);
+    let prefill_engines = usize::try_from(round_up(prefill_engines)).unwrap_or(usize::MAX);
+    let least = MIN_ENGINES_PER_STAGE.min(work.present / 2);
+    work.decoders
+        .min(work.present.saturating_sub(prefill_engines.max(least)))
 }
 
 /// An engine of the service.
@@ -111,30 +112,32 @@
 /// repeated elsewhere, but its streams break off. If a reclaimable engine decodes while another kind prefills, the latter
 /// changes first; the reclaimable one is then surplus and follows in a later plan.
 pub fn plan_stages(engines: &[Engine<'_>], wanted: usize) -> Vec<StageChange> {
-    let mut decoders = of_stage(engines, EngineStage::Decode);
-    let mut readers = of_stage(engines, EngineStage::Prefill);
+    let mut decoders = engines_in_stage(engines, EngineStage::Decode);
+    let mut prefill_engines = engines_in_stage(engines, EngineStage::Prefill);
     let is_lasting = |(_, endpoint): &Engine<'_>| !endpoint.reclaimable;
     let lasting_wanted = wanted.min(engines.iter().filter(|engine| is_lasting(engine)).count());
     let mut changes = Vec::new();
     loop {
-        let counts = count_domains(engines, &decoders);
+        let counts = decoders_by_domain(engines, &decoders);
         let count = |(_, endpoint): &Engine<'_>| counts.get(&endpoint.domain).copied().unwrap_or(0);
         let lasting_decoders = decoders.iter().filter(|engine| is_lasting(engine)).count();
         let is_short = decoders.len() < wanted || lasting_decoders < lasting_wanted;
-        let (from, to, stage, place) = if is_short && readers.len() > 1 {
-            let place = best_place(&readers, |row| (is_lasting(row), usize::MAX - count(row)));
-            (&mut readers, &mut decoders, EngineStage::Decode, place)
+        let (from, to, stage, index) = if is_short && prefill_engines.len() > 1 {
+            let index = best_index(&prefill_engines, |engine| {
+                (is_lasting(engine), usize::MAX - count(engine))
+            });
+            (&mut prefill_engines, &mut decoders, EngineStage::Decode, index)
         } else if decoders.len() > wanted {
-            let place = best_place(&decoders, |row| (!is_lasting(row), count(row)));
-            (&mut decoders, &mut readers, EngineStage::Prefill, place)
+            let index = best_index(&decoders, |engine| (!is_lasting(engine), count(engine)));
+            (&mut decoders, &mut prefill_engines, EngineStage::Prefill, index)
         } else {
             break;
         };
-        let Some(place) = place else { break };
-        let row = from.remove(place);
-        to.push(row);
+        let Some(index) = index else { break };
+        let engine = from.remove(index);
+        to.push(engine);
         changes.push(StageChange {
-            endpoint: row.0.clone(),
+            endpoint: engine.0.clone(),
             stage,
         });
     }
@@ -145,12 +148,12 @@
     changes
 }
 
-fn of_stage<'table>(engines: &[Engine<'table>], stage: EngineStage) -> Vec<Engine<'table>> {
-    let rows = engines.iter().filter(|(_, endpoint)| endpoint.stage == Some(stage));
-    rows.copied().collect()
+fn engines_in_stage<'table>(engines: &[Engine<'table>], stage: EngineStage) -> Vec<Engine<'table>> {
+    let engines = engines.iter().filter(|(_, endpoint)| endpoint.stage == Some(stage));
+    engines.copied().collect()
 }
 
-fn count_domains<'table>(
+fn decoders_by_domain<'table>(
     engines: &[Engine<'table>],
     decoders: &[Engine<'table>],
 ) -> BTreeMap<&'table DomainName, usize> {
@@ -161,6 +164,6 @@
     counts
 }
 
-fn best_place<T, K: Ord>(rows: &[T], key: impl Fn(&T) -> K) -> Option<usize> {
-    (0..rows.len()).max_by_key(|place| key(&rows[*place]))
+fn best_index<T, K: Ord>(engines: &[T], key: impl Fn(&T) -> K) -> Option<usize> {
+    (0..engines.len()).max_by_key(|index| key(&engines[*index]))
 }
--- a/crates/acaciabay/tests/serving/stages.rs
+++ b/crates/acaciabay/tests/serving/stages.rs
@@ -33,23 +33,23 @@
     }
 }
 
-fn work(present: usize, domains: usize, streams: f64, readers: f64) -> StageWork {
+fn work(present: usize, domains: usize, streams: f64, prefill_engines: f64) -> StageWork {
     StageWork {
         present,
         expected: 0,
-        makers: 0,
+        decoders: 0,
         domains,
         demand: demand(streams),
-        readers,
+        prefill_engines,
     }
 }
 
-fn wanted(present: usize, domains: usize, streams: f64, readers: f64) -> usize {
-    wanted_decoders(&work(present, domains, streams, readers), &engine())
+fn wanted(present: usize, domains: usize, streams: f64, prefill_engines: f64) -> usize {
+    wanted_decoders(&work(present, domains, streams, prefill_engines), &engine())
 }
 
 #[test]
-fn streams_decide_how_many_engines_make_tokens() {
+fn streams_decide_how_many_engines_decode() {
     assert_eq!(wanted(9, 1, 0.0, 0.0), 2);
     assert_eq!(wanted(9, 1, 100.0, 0.0), 4);
     assert_eq!(wanted(9, 1, 1_000.0, 0.0), 7);
@@ -62,32 +62,32 @@
 /// are left for the work of eleven. The running streams would fill six of them; with two left for prefill, every prompt
 /// would wait for a second and most would be refused.
 #[test]
-fn too_few_engines_are_shared_between_reading_and_making() {
-    let makers = wanted(8, 3, 162.0, 5.5);
+fn too_few_engines_are_divided_between_prefill_and_decode() {
+    let decoders = wanted(8, 3, 162.0, 5.5);
 
-    assert!((3..=4).contains(&makers), "{makers}");
+    assert!((3..=4).contains(&decoders), "{decoders}");
 }
 
 /// Guards against needless changes of stage after a burst. Nine of eighteen engines decode where three would do, and
 /// prefill has all the engines that it needs. Engines taken from decode now would be missing in the next burst, and its
 /// longest answers would miss their deadlines.
 #[test]
-fn makers_that_reading_does_not_need_go_on() {
-    let spared = |readers| {
+fn decoders_that_prefill_does_not_need_keep_decoding() {
+    let retained = |prefill_engines| {
         let work = StageWork {
-            makers: 9,
-            ..work(18, 3, 60.0, readers)
+            decoders: 9,
+            ..work(18, 3, 60.0, prefill_engines)
         };
         wanted_decoders(&work, &engine())
     };
 
-    assert_eq!(spared(2.0), 9);
-    assert_eq!(spared(4.0), 6);
-    assert_eq!(spared(8.0), 3);
+    assert_eq!(retained(2.0), 9);
+    assert_eq!(retained(4.0), 6);
+    assert_eq!(retained(8.0), 3);
 }
 
 /// Guards against counting engines that were ordered but have not started: eight are present for the same load as in
-/// `too_few_engines_are_shared_between_reading_and_making`, and eighteen are expected.
+/// `too_few_engines_are_divided_between_prefill_and_decode`, and eighteen are expected.
 #[test]
 fn engines_that_have_not_started_do_no_work() {
     let work = StageWork {
@@ -101,7 +101,7 @@
 /// Guards against too many decode engines after a replacement of engines whose successors all start in the decode stage:
 /// all prompts would queue at the few prefill engines.
 #[test]
-fn surplus_makers_become_readers_where_there_are_most() {
+fn surplus_decoders_become_prefill_engines_in_the_domain_with_most() {
     let rows = vec![
         row(1, "a", EngineStage::Decode, false),
         row(2, "a", EngineStage::Decode, false),
@@ -119,7 +119,7 @@
 /// Guards against streams on an engine that the platform may reclaim at short notice while one that it cannot reclaim
 /// prefills. The latter changes to decode first, and the reclaimable engine keeps decoding until then.
 #[test]
-fn lasting_engines_make_the_tokens() {
+fn on_demand_engines_decode() {
     let rows = vec![
         row(1, "a", EngineStage::Decode, true),
         row(2, "b", EngineStage::Prefill, false),
@@ -158,12 +158,12 @@
     /// Repeated plans converge to the wanted number of decode engines, and never remove the last one before another one
     /// decodes.
     #[test]
-    fn plans_come_to_rest(mut rows in rows_strategy(), wanted in 1_usize..4) {
+    fn plans_converge(mut rows in rows_strategy(), wanted in 1_usize..4) {
         let wanted = wanted.min(rows.len() - 1);
-        let makers = |rows: &Rows| rows.iter().filter(|row| row.1.stage == Some(EngineStage::Decode)).count();
+        let decoders = |rows: &Rows| rows.iter().filter(|row| row.1.stage == Some(EngineStage::Decode)).count();
         let mut rounds = 0;
         loop {
-            let before = makers(&rows);
+            let before = decoders(&rows);
             let changes = plan(&rows, wanted);
             if changes.is_empty() {
                 break;
@@ -177,6 +177,6 @@
             rounds += 1;
             prop_assert!(rounds < 10, "plans go on for ever");
         }
-        prop_assert_eq!(makers(&rows), wanted);
+        prop_assert_eq!(decoders(&rows), wanted);
     }
 }
