--- a/crates/acacia-control/src/serving/pool_orders.rs
+++ b/crates/acacia-control/src/serving/pool_orders.rs
@@ -12,8 +12,8 @@
 use acaciabay::core::serving::endpoint_registry::EndpointPhase;
 use acaciabay::core::serving::given_order::GivenOrder;
 use acaciabay::core::serving::reading_need::{ReadingMeasure, ReadingNeed};
-use acaciabay::ops::fill_gap::fill_gap;
 use acaciabay::ops::plan_pool::{DomainPool, PoolView, plan_pool, plan_pool_changes};
+use acaciabay::ops::replace_refused::replace_refused;
 use parking_lot::Mutex;
 
 use super::codec::PoolOrder;
@@ -86,7 +86,7 @@
             needed_now: need.needed_now(),
             serving: total.saturating_sub(stages.resting_count(now)),
             is_idle: !need.is_measured(),
-            may_give_back: is_settled && now >= self.next_give_back,
+            may_release: is_settled && now >= self.next_give_back,
             may_shrink: is_settled,
             present,
         };
@@ -105,7 +105,7 @@
             "needed" => view.needed, "serving" => view.serving, "idle" => view.is_idle,
             "readers" => readers, "pace_ms" => turn.hub.soft().pace_ms(service), "wanted" => ?wanted,
             "present" => ?view.present);
-        let wanted = fill_gap(pool, &wanted, &view);
+        let wanted = replace_refused(pool, &wanted, &view);
         for change in plan_pool_changes(pool, &wanted, &view) {
             let order = PoolOrder {
                 service: service.clone(),
@@ -113,7 +113,7 @@
                 desired: change.desired,
                 reclaimable: change.reclaimable,
             };
-            if self.give(turn, pool, order) && change.gives_back {
+            if self.give(turn, pool, order) && change.is_release {
                 self.next_give_back = now + GIVE_BACK_PAUSE;
                 stages.hold(now);
             }
--- a/crates/acaciabay/src/ops/mod.rs
+++ b/crates/acaciabay/src/ops/mod.rs
@@ -2,7 +2,6 @@
 
 pub mod check_tables;
 pub mod divide_pool;
-pub mod fill_gap;
 pub mod place_call;
 pub mod place_prompt;
 pub mod place_request;
@@ -11,5 +10,6 @@
 pub mod plan_pool;
 pub mod plan_stages;
 pub mod plan_windows;
+pub mod replace_refused;
 pub mod route_request;
 pub mod split_call;
--- a/crates/acaciabay/src/ops/plan_pool.rs
+++ b/crates/acaciabay/src/ops/plan_pool.rs
@@ -29,21 +29,23 @@
 
 /// Fraction of the needed endpoints that are on-demand where reclaimable ones are worthwhile. It is enough for a slow
 /// service while the platform has reclaimed those of two domains and has no replacements.
-const LASTING_PART: f64 = 0.14;
+const ON_DEMAND_FRACTION: f64 = 0.14;
 /// Highest price, relative to an on-demand endpoint, at which reclaimable endpoints are worth their reserve. With three
 /// domains, up to three times as many are paid for as the load needs.
-const WORTHWHILE_PRICE: f64 = 0.3;
+const MAX_RECLAIMABLE_PRICE: f64 = 0.3;
 /// Number of domains that may lose all their reclaimable endpoints before replacements are available. The platform
 /// reclaims them in one domain after another within seconds, and has no replacements for ten seconds or more.
-pub(super) const LOST_DOMAINS: u32 = 2;
+pub(super) const TOLERATED_DOMAIN_LOSSES: u32 = 2;
 
 /// Returns the wanted endpoints of each failure domain for a load that needs `needed` endpoints in all.
 pub fn plan_pool(spec: &PoolSpec, domains: &[DomainName], needed: u32) -> BTreeMap<DomainName, DomainPool> {
     let count = u32::try_from(domains.len()).unwrap_or(u32::MAX).max(1);
-    let is_worthwhile = spec.reclaimable_price.is_some_and(|price| price <= WORTHWHILE_PRICE);
+    let is_worthwhile = spec
+        .reclaimable_price
+        .is_some_and(|price| price <= MAX_RECLAIMABLE_PRICE);
     let mut pools = BTreeMap::new();
     if !is_worthwhile || count < 2 {
-        for (domain, lasting) in spread(spec, domains, needed) {
+        for (domain, lasting) in spread_evenly(spec, domains, needed) {
             let pool = DomainPool {
                 lasting: lasting.clamp(spec.least, spec.most),
                 reclaimable: 0,
@@ -52,10 +54,10 @@
         }
         return pools;
     }
-    let borne = round_up(f64::from(needed) * LASTING_PART / f64::from(count));
-    let lasting = u32::try_from(borne).unwrap_or(u32::MAX).clamp(1, spec.most.max(1));
+    let per_domain = round_up(f64::from(needed) * ON_DEMAND_FRACTION / f64::from(count));
+    let lasting = u32::try_from(per_domain).unwrap_or(u32::MAX).clamp(1, spec.most.max(1));
     let rest = needed.saturating_sub(lasting * count);
-    let reclaimable = rest.div_ceil(count.saturating_sub(LOST_DOMAINS).max(1));
+    let reclaimable = rest.div_ceil(count.saturating_sub(TOLERATED_DOMAIN_LOSSES).max(1));
     for domain in domains {
         let room = spec.most.saturating_sub(lasting);
         let pool = DomainPool {
@@ -68,7 +70,7 @@
 }
 
 /// Spreads endpoints evenly over the failure domains, with the remainder in the cheapest ones.
-fn spread(spec: &PoolSpec, domains: &[DomainName], needed: u32) -> Vec<(DomainName, u32)> {
+fn spread_evenly(spec: &PoolSpec, domains: &[DomainName], needed: u32) -> Vec<(DomainName, u32)> {
     let price = |domain: &DomainName| spec.domain_prices.get(domain).copied().unwrap_or(1.0);
     let mut by_price: Vec<_> = domains.to_vec();
     by_price.sort_by(|one, other| price(one).total_cmp(&price(other)));
@@ -80,7 +82,7 @@
         .collect()
 }
 
-/// The state of a service from which [`plan_pool_changes`] and [`fill_gap`](crate::ops::fill_gap) plan orders.
+/// The state of a service from which orders are planned.
 #[derive(Clone, Debug, Default)]
 pub struct PoolView {
     /// Endpoints that take calls, by failure domain.
@@ -100,7 +102,7 @@
     /// True once all endpoints have reported, so that an order for fewer is based on a full count.
     pub may_shrink: bool,
     /// True if on-demand endpoints may be released now. After each release a pause follows.
-    pub may_give_back: bool,
+    pub may_release: bool,
 }
 
 impl PoolView {
@@ -120,7 +122,7 @@
     /// The total number of endpoints of this kind after the change.
     pub desired: u32,
     /// True if the change releases on-demand endpoints.
-    pub gives_back: bool,
+    pub is_release: bool,
 }
 
 /// Returns the orders that lead from the present endpoints to the wanted ones.
@@ -134,25 +136,25 @@
     view: &PoolView,
 ) -> Vec<PoolChange> {
     let mut changes = Vec::new();
-    let mut has_given_back = false;
-    let mut dispensable = dispensable_endpoints(view);
-    let lacking = lacking_endpoints(wanted, view);
+    let mut has_released = false;
+    let mut expendable = expendable_endpoints(view);
+    let shortfall = reclaimable_shortfall(wanted, view);
     for (domain, want) in wanted {
         let have = view.present.get(domain).copied().unwrap_or_default();
         let room = spec.most.saturating_sub(have.lasting.max(want.lasting.min(spec.most)));
         let share = if view.refused.contains(domain) {
             0
         } else {
-            lacking.share
+            shortfall.share
         };
         let reclaimable = want.reclaimable.saturating_add(share).min(room);
         // A domain keeps its reclaimable endpoints while another domain lacks some, or while the load needs them.
-        let given_up = have.reclaimable.saturating_sub(reclaimable);
-        let may_shrink = view.may_shrink && lacking.count == 0 && given_up <= dispensable;
+        let removed = have.reclaimable.saturating_sub(reclaimable);
+        let may_shrink = view.may_shrink && shortfall.count == 0 && removed <= expendable;
         if reclaimable > have.reclaimable {
             changes.push(change(domain, true, reclaimable, false));
-        } else if given_up > 0 && may_shrink {
-            dispensable -= given_up;
+        } else if removed > 0 && may_shrink {
+            expendable -= removed;
             changes.push(change(domain, true, reclaimable, false));
         }
         let surplus = have.lasting.saturating_sub(want.lasting);
@@ -160,13 +162,13 @@
         let is_replaced = if view.is_idle {
             agreed >= reclaimable
         } else {
-            !has_given_back && surplus <= dispensable
+            !has_released && surplus <= expendable
         };
         if want.lasting > have.lasting && view.may_shrink {
             changes.push(change(domain, false, want.lasting, false));
-        } else if surplus > 0 && view.may_give_back && is_replaced {
-            has_given_back = true;
-            dispensable = dispensable.saturating_sub(surplus);
+        } else if surplus > 0 && view.may_release && is_replaced {
+            has_released = true;
+            expendable = expendable.saturating_sub(surplus);
             changes.push(change(domain, false, want.lasting, true));
         }
     }
@@ -177,7 +179,7 @@
 ///
 /// During a shortage the result is 0, whatever the plan says: replacing one kind by the other takes seconds, and callers
 /// would wait meanwhile. Before the first call there is no limit, since nobody waits.
-const fn dispensable_endpoints(view: &PoolView) -> u32 {
+const fn expendable_endpoints(view: &PoolView) -> u32 {
     if view.is_idle {
         u32::MAX
     } else {
@@ -187,22 +189,22 @@
 
 /// Reclaimable endpoints that are missing in the failure domains where the platform has refused them.
 #[derive(Clone, Copy, Debug, Default)]
-struct LackingEndpoints {
+struct ReclaimableShortfall {
     /// The total over these domains.
     count: u32,
     /// The number of additional endpoints that each of the other domains should have in their place.
     share: u32,
 }
 
-fn lacking_endpoints(wanted: &BTreeMap<DomainName, DomainPool>, view: &PoolView) -> LackingEndpoints {
+fn reclaimable_shortfall(wanted: &BTreeMap<DomainName, DomainPool>, view: &PoolView) -> ReclaimableShortfall {
     let refused = wanted.iter().filter(|(domain, _)| view.refused.contains(*domain));
-    let lacking = refused.map(|(domain, want)| {
+    let shortfall = refused.map(|(domain, want)| {
         let have = view.present.get(domain).copied().unwrap_or_default();
         want.reclaimable.saturating_sub(have.reclaimable)
     });
-    let count: u32 = lacking.sum();
+    let count: u32 = shortfall.sum();
     let others = wanted.keys().filter(|domain| !view.refused.contains(*domain)).count();
-    LackingEndpoints {
+    ReclaimableShortfall {
         count,
         share: u32::try_from(others)
             .ok()
@@ -211,11 +213,11 @@
     }
 }
 
-fn change(domain: &DomainName, reclaimable: bool, desired: u32, gives_back: bool) -> PoolChange {
+fn change(domain: &DomainName, reclaimable: bool, desired: u32, is_release: bool) -> PoolChange {
     PoolChange {
         domain: domain.clone(),
         reclaimable,
         desired,
-        gives_back,
+        is_release,
     }
 }
--- a/crates/acaciabay/src/ops/fill_gap.rs
+++ b/crates/acaciabay/src/ops/replace_refused.rs
@@ -9,10 +9,10 @@
 
 use crate::core::name::DomainName;
 use crate::core::serving::config::PoolSpec;
-use crate::ops::plan_pool::{DomainPool, LOST_DOMAINS, PoolView};
+use crate::ops::plan_pool::{DomainPool, PoolView, TOLERATED_DOMAIN_LOSSES};
 
 /// Returns the wanted endpoints of each failure domain, with on-demand ones in place of those that the platform refuses.
-pub fn fill_gap(
+pub fn replace_refused(
     spec: &PoolSpec,
     wanted: &BTreeMap<DomainName, DomainPool>,
     view: &PoolView,
@@ -21,13 +21,13 @@
     if view.is_idle || view.refused.is_empty() {
         return filled;
     }
-    let mut coming: BTreeMap<&DomainName, DomainPool> = wanted
+    let mut expected: BTreeMap<&DomainName, DomainPool> = wanted
         .iter()
-        .map(|(domain, want)| (domain, coming_pool(domain, *want, view)))
+        .map(|(domain, want)| (domain, expected_pool(domain, *want, view)))
         .collect();
-    let total: u32 = coming.values().map(|pool| pool.total()).sum();
-    for _ in total.saturating_sub(endangered_endpoints(&coming, view))..view.needed_now {
-        let with_room = coming.iter_mut().filter(|(_, pool)| pool.total() < spec.most);
+    let total: u32 = expected.values().map(|pool| pool.total()).sum();
+    for _ in total.saturating_sub(endpoints_at_risk(&expected, view))..view.needed_now {
+        let with_room = expected.iter_mut().filter(|(_, pool)| pool.total() < spec.most);
         let Some((domain, pool)) = with_room.min_by_key(|(_, pool)| pool.total()) else {
             break;
         };
@@ -43,17 +43,17 @@
 ///
 /// Once the platform refuses as many domains as the plan holds a reserve for, that reserve is used up. If one more domain
 /// were lost, only the replacements ordered now would be there, since on-demand endpoints take seconds to start.
-fn endangered_endpoints(coming: &BTreeMap<&DomainName, DomainPool>, view: &PoolView) -> u32 {
+fn endpoints_at_risk(expected: &BTreeMap<&DomainName, DomainPool>, view: &PoolView) -> u32 {
     let refused = u32::try_from(view.refused.len()).unwrap_or(u32::MAX);
-    if refused < LOST_DOMAINS {
+    if refused < TOLERATED_DOMAIN_LOSSES {
         return 0;
     }
-    let left = coming.iter().filter(|(domain, _)| !view.refused.contains(**domain));
+    let left = expected.iter().filter(|(domain, _)| !view.refused.contains(**domain));
     left.map(|(_, pool)| pool.reclaimable).max().unwrap_or(0)
 }
 
 /// Returns the endpoints that a failure domain will have once the orders of the plan are carried out.
-fn coming_pool(domain: &DomainName, want: DomainPool, view: &PoolView) -> DomainPool {
+fn expected_pool(domain: &DomainName, want: DomainPool, view: &PoolView) -> DomainPool {
     let have = view.present.get(domain).copied().unwrap_or_default();
     let reclaimable = if view.refused.contains(domain) {
         have.reclaimable
--- a/crates/acaciabay/tests/serving/pools.rs
+++ b/crates/acaciabay/tests/serving/pools.rs
@@ -4,17 +4,17 @@
 
 use acaciabay::core::name::DomainName;
 use acaciabay::core::serving::reading_need::{ReadingMeasure, ReadingNeed};
-use acaciabay::ops::fill_gap::fill_gap;
 use acaciabay::ops::plan_pool::{DomainPool, PoolView, plan_pool, plan_pool_changes};
+use acaciabay::ops::replace_refused::replace_refused;
 use proptest::prelude::*;
 
 use crate::fixtures::{at, domains, fixed_cases, pool};
 
-fn both(lasting: u32, reclaimable: u32) -> DomainPool {
+fn counts(lasting: u32, reclaimable: u32) -> DomainPool {
     DomainPool { lasting, reclaimable }
 }
 
-fn same(pool: DomainPool) -> BTreeMap<DomainName, DomainPool> {
+fn in_each_domain(pool: DomainPool) -> BTreeMap<DomainName, DomainPool> {
     domains(&["a", "b", "c"])
         .into_iter()
         .map(|domain| (domain, pool))
@@ -23,19 +23,19 @@
 
 fn busy(present: DomainPool, needed: u32, serving: u32) -> PoolView {
     PoolView {
-        present: same(present),
+        present: in_each_domain(present),
         needed,
         needed_now: needed,
         serving,
         may_shrink: true,
-        may_give_back: true,
+        may_release: true,
         ..PoolView::default()
     }
 }
 
 /// Guards against ordering reclaimable endpoints that no low price makes worthwhile.
 #[test]
-fn endpoints_last_where_others_are_not_cheaper() {
+fn endpoints_are_on_demand_where_others_are_not_cheaper() {
     let wanted = plan_pool(&pool(6, None), &domains(&["a", "b", "c"]), 10);
 
     let lasting: Vec<u32> = wanted.values().map(|pool| pool.lasting).collect();
@@ -46,23 +46,23 @@
 /// Guards against a release in all domains at once. The platform chooses the endpoints that it removes and may choose all
 /// decode engines; callers would then find none until other engines have changed their stage.
 #[test]
-fn lasting_endpoints_are_given_back_one_domain_at_a_time() {
-    let view = busy(both(3, 3), 9, 18);
+fn on_demand_endpoints_are_released_one_domain_at_a_time() {
+    let view = busy(counts(3, 3), 9, 18);
 
-    let changes = plan_pool_changes(&pool(6, Some(0.2)), &same(both(1, 3)), &view);
+    let changes = plan_pool_changes(&pool(6, Some(0.2)), &in_each_domain(counts(1, 3)), &view);
 
-    assert_eq!(changes.iter().filter(|change| change.gives_back).count(), 1);
+    assert_eq!(changes.iter().filter(|change| change.is_release).count(), 1);
 }
 
 /// Guards against shrinking other domains after the platform has reclaimed all endpoints of one. The load has fallen, so
 /// the regular plan would remove as many endpoints again at the same moment.
 #[test]
 fn nothing_shrinks_while_a_domain_lacks_endpoints() {
-    let mut view = busy(both(1, 9), 9, 21);
-    view.present.insert("b".into(), both(1, 0));
+    let mut view = busy(counts(1, 9), 9, 21);
+    view.present.insert("b".into(), counts(1, 0));
     view.refused.insert("b".into());
 
-    let changes = plan_pool_changes(&pool(20, Some(0.2)), &same(both(1, 6)), &view);
+    let changes = plan_pool_changes(&pool(20, Some(0.2)), &in_each_domain(counts(1, 6)), &view);
 
     assert!(changes.iter().all(|change| change.desired >= 6), "{changes:?}");
     assert!(
@@ -74,11 +74,11 @@
 /// Guards against a loss of capacity when one domain has no reclaimable endpoints: the others are asked for the shortfall.
 #[test]
 fn other_domains_make_up_for_a_refusal() {
-    let mut view = busy(both(1, 6), 9, 15);
-    view.present.insert("b".into(), both(1, 0));
+    let mut view = busy(counts(1, 6), 9, 15);
+    view.present.insert("b".into(), counts(1, 0));
     view.refused.insert("b".into());
 
-    let changes = plan_pool_changes(&pool(20, Some(0.2)), &same(both(1, 6)), &view);
+    let changes = plan_pool_changes(&pool(20, Some(0.2)), &in_each_domain(counts(1, 6)), &view);
 
     let desired: Vec<_> = changes
         .iter()
@@ -92,10 +92,10 @@
 /// Without the latter at the peak, callers are refused for seconds.
 #[test]
 fn kinds_are_not_exchanged_while_fewer_serve_than_are_needed() {
-    let mut view = busy(both(1, 5), 31, 13);
-    view.present.insert("b".into(), both(1, 0));
+    let mut view = busy(counts(1, 5), 31, 13);
+    view.present.insert("b".into(), counts(1, 0));
 
-    let changes = plan_pool_changes(&pool(6, Some(0.15)), &same(both(2, 4)), &view);
+    let changes = plan_pool_changes(&pool(6, Some(0.15)), &in_each_domain(counts(2, 4)), &view);
 
     assert!(
         changes
@@ -108,10 +108,10 @@
 /// Guards against removing more than the surplus: the load has fallen, every domain has two endpoints too many, and a
 /// removal in all of them at once would exceed what can be spared.
 #[test]
-fn no_more_reclaimable_endpoints_are_given_back_than_can_be_spared() {
-    let view = busy(both(1, 5), 15, 18);
+fn no_more_reclaimable_endpoints_are_removed_than_can_be_spared() {
+    let view = busy(counts(1, 5), 15, 18);
 
-    let changes = plan_pool_changes(&pool(6, Some(0.15)), &same(both(1, 3)), &view);
+    let changes = plan_pool_changes(&pool(6, Some(0.15)), &in_each_domain(counts(1, 3)), &view);
 
     assert_eq!(changes.len(), 1, "{changes:?}");
 }
@@ -120,12 +120,12 @@
 /// no reclaimable endpoints for ten seconds; on-demand ones start in four. Without them, eight endpoints do the work of
 /// twelve, and callers are refused until reclaimable ones are available again.
 #[test]
-fn lasting_endpoints_fill_what_the_platform_refuses() {
-    let mut view = busy(both(1, 0), 9, 8);
-    view.present.insert("a".into(), both(1, 5));
+fn on_demand_endpoints_replace_refused_ones() {
+    let mut view = busy(counts(1, 0), 9, 8);
+    view.present.insert("a".into(), counts(1, 5));
     view.refused.extend(["b".into(), "c".into()]);
 
-    let wanted = fill_gap(&pool(6, Some(0.15)), &same(both(1, 5)), &view);
+    let wanted = replace_refused(&pool(6, Some(0.15)), &in_each_domain(counts(1, 5)), &view);
 
     // The platform may also reclaim the five endpoints that are left in domain a.
     let lasting: Vec<u32> = wanted.values().map(|pool| pool.lasting).collect();
@@ -134,12 +134,12 @@
 
 /// Guards against a shortage when the platform reclaims one of three domains and the load exceeds what the others carry.
 #[test]
-fn one_refused_domain_is_filled_as_far_as_the_work_needs() {
-    let mut view = busy(both(1, 4), 12, 11);
-    view.present.insert("b".into(), both(1, 0));
+fn one_refused_domain_is_replaced_as_far_as_the_load_needs() {
+    let mut view = busy(counts(1, 4), 12, 11);
+    view.present.insert("b".into(), counts(1, 0));
     view.refused.insert("b".into());
 
-    let wanted = fill_gap(&pool(6, Some(0.15)), &same(both(1, 4)), &view);
+    let wanted = replace_refused(&pool(6, Some(0.15)), &in_each_domain(counts(1, 4)), &view);
 
     let lasting: Vec<u32> = wanted.values().map(|pool| pool.lasting).collect();
     assert_eq!(lasting, [1, 2, 1]);
@@ -147,20 +147,20 @@
 
 /// Guards against paying for replacements when one domain is refused but the others carry the load.
 #[test]
-fn a_refusal_that_is_not_missed_is_not_filled() {
-    let mut view = busy(both(1, 5), 12, 13);
-    view.present.insert("b".into(), both(1, 0));
+fn a_refusal_without_shortage_is_not_replaced() {
+    let mut view = busy(counts(1, 5), 12, 13);
+    view.present.insert("b".into(), counts(1, 0));
     view.refused.insert("b".into());
-    let wanted = same(both(1, 5));
+    let wanted = in_each_domain(counts(1, 5));
 
-    assert_eq!(fill_gap(&pool(6, Some(0.15)), &wanted, &view), wanted);
+    assert_eq!(replace_refused(&pool(6, Some(0.15)), &wanted, &view), wanted);
 }
 
 #[test]
-fn nothing_is_given_back_while_the_work_needs_it() {
-    let view = busy(both(3, 0), 9, 9);
+fn nothing_is_released_while_the_load_needs_it() {
+    let view = busy(counts(3, 0), 9, 9);
 
-    let changes = plan_pool_changes(&pool(6, Some(0.2)), &same(both(1, 3)), &view);
+    let changes = plan_pool_changes(&pool(6, Some(0.2)), &in_each_domain(counts(1, 3)), &view);
 
     assert!(changes.iter().all(|change| change.reclaimable && change.desired == 3));
 }
@@ -168,10 +168,10 @@
 /// Guards against a slow or early release before the first call. No caller is affected then, so on-demand endpoints are
 /// released in all domains at once, but only after the platform has agreed to their replacements.
 #[test]
-fn an_idle_system_gives_back_at_once() {
+fn an_idle_system_releases_in_all_domains_at_once() {
     let idle = PoolView {
         is_idle: true,
-        ..busy(both(3, 0), 9, 9)
+        ..busy(counts(3, 0), 9, 9)
     };
     let agreed = PoolView {
         agreed: domains(&["a", "b", "c"])
@@ -180,13 +180,13 @@
             .collect(),
         ..idle.clone()
     };
-    let given_back = |view: &PoolView| {
-        let changes = plan_pool_changes(&pool(6, Some(0.2)), &same(both(1, 3)), view);
-        changes.iter().filter(|change| change.gives_back).count()
+    let released = |view: &PoolView| {
+        let changes = plan_pool_changes(&pool(6, Some(0.2)), &in_each_domain(counts(1, 3)), view);
+        changes.iter().filter(|change| change.is_release).count()
     };
 
-    assert_eq!(given_back(&idle), 0);
-    assert_eq!(given_back(&agreed), 3);
+    assert_eq!(released(&idle), 0);
+    assert_eq!(released(&agreed), 3);
 }
 
 #[test]
