--- a/crates/acaciabay/src/ops/divide_pool.rs
+++ b/crates/acaciabay/src/ops/divide_pool.rs
@@ -17,10 +17,10 @@
 
 /// Divides `capacity` pieces among the entries.
 ///
-/// Customers get max-min fair shares of the whole pool, regardless of the entries that they use. If entries got shares by
-/// their own demand instead, a customer that floods one entry would take capacity from all customers at the others.
-/// Capacity without demand is spread evenly over the entries as headroom, so that a burst is admitted without asking the
-/// leader first.
+/// Customers get max-min fair shares of the whole pool, regardless of the entries that they use. If entries got shares
+/// by their own demand instead, a customer that floods one entry would take capacity from all customers at the others.
+/// Capacity without demand is spread evenly over the entries as headroom, so that a burst is admitted without asking
+/// the leader first.
 pub fn divide_pool(capacity: u32, demands: &BTreeMap<&HostName, &PoolDemand>) -> BTreeMap<HostName, EntryPart> {
     let totals = total_demands(demands);
     let parts = customer_parts(f64::from(capacity), &totals);
@@ -45,8 +45,8 @@
 
 /// Returns the max-min fair share of each customer.
 ///
-/// In ascending order of demand, each customer gets its demand or an equal share of the remaining capacity, whichever is
-/// less.
+/// In ascending order of demand, each customer gets its demand or an equal share of the remaining capacity, whichever
+/// is less.
 pub fn customer_parts<'demand>(
     capacity: f64,
     totals: &BTreeMap<&'demand CustomerName, u64>,
--- a/crates/acaciabay/src/ops/place_call.rs
+++ b/crates/acaciabay/src/ops/place_call.rs
@@ -24,15 +24,15 @@
     pub loads: &'table LoadTable,
 }
 
-/// Penalties added to an endpoint's load, in fractions of its slots. A prompt takes twice as long to reach another failure
-/// domain. A recent failure counts more than a full endpoint.
+/// Penalties added to an endpoint's load, in fractions of its slots. A prompt takes twice as long to reach another
+/// failure domain. A recent failure counts more than a full endpoint.
 const SLOT_PENALTY: EndpointPenalty = EndpointPenalty {
     other_domain: 0.15,
     suspect: 8.0,
 };
 
-/// Range of the random term added to an engine's load, as a fraction of its slots. Entries learn of each other's streams
-/// with a delay, and without this term all of them would meanwhile choose the engine with the fewest streams.
+/// Range of the random term added to an engine's load, as a fraction of its slots. Entries learn of each other's
+/// streams with a delay, and without this term all of them would meanwhile choose the engine with the fewest streams.
 const STREAM_SPREAD: f64 = 0.1;
 
 /// Chooses the engine that decodes a stream.
--- a/crates/acaciabay/src/ops/place_prompt.rs
+++ b/crates/acaciabay/src/ops/place_prompt.rs
@@ -31,13 +31,13 @@
 /// prefill it before any could copy it.
 const OTHER_HOME_MS: f64 = 800.0;
 
-/// Cost of an engine that is no home of the part, in milliseconds. It is about the time that callers wait, so that such an
-/// engine is used only when all homes are overloaded.
+/// Cost of an engine that is no home of the part, in milliseconds. It is about the time that callers wait, so that such
+/// an engine is used only when all homes are overloaded.
 const NO_HOME_MS: f64 = 3_000.0;
 
 /// Cost of an engine that must copy a part known to be cached elsewhere, in milliseconds, when every prefill engine is
-/// busy. Each copy evicts other parts, which busy engines then have to prefill again. The cost is scaled by the fraction
-/// of prefill engines that are busy.
+/// busy. Each copy evicts other parts, which busy engines then have to prefill again. The cost is scaled by the
+/// fraction of prefill engines that are busy.
 const KEPT_ELSEWHERE_MS: f64 = 800.0;
 
 /// Minimum of the busy fraction by which [`KEPT_ELSEWHERE_MS`] is scaled, also if hardly any prefill engine is busy.
@@ -47,14 +47,15 @@
 /// learn of each other's calls in time would all choose the same engine.
 const TIE_MS: f64 = 10.0;
 
-/// Fixed time of a copy beside the transfer itself, in milliseconds: a median of current engines.
+/// Fixed time of a copy beside the transfer itself, in milliseconds. The value is in the middle of current engines.
 const COPY_SETUP_MS: f64 = 4.0;
 
 /// Ratio of the transfer time from another failure domain to that within a domain, as the users' protocol specifies.
 const FAR_COPY_FACTOR: f64 = 2.0;
 
-/// Penalties added to the queue of a prefill engine, in milliseconds. Another failure domain costs the round trip. A recent
-/// failure costs more than any queue that callers wait for, so that the engine is used only if there is no other.
+/// Penalties added to the queue of a prefill engine, in milliseconds. Another failure domain costs the round trip. A
+/// recent failure costs more than any queue that callers wait for, so that the engine is used only if there is no
+/// other.
 const READER_PENALTY: EndpointPenalty = EndpointPenalty {
     other_domain: 3.0,
     suspect: 60_000.0,
@@ -86,15 +87,15 @@
     pub copy_from: Option<EndpointName>,
 }
 
-/// Time beyond the estimate after which the source of a copy counts as gone. An engine that waits in vain for a copy loses
-/// a few hundred milliseconds and then prefills the part itself.
+/// Time beyond the estimate after which the source of a copy counts as gone. An engine that waits in vain for a copy
+/// loses a few hundred milliseconds and then prefills the part itself.
 const LOST_SOURCE_DELAY: Duration = Duration::from_millis(150);
 
 /// Returns `true` if the source of a copy is probably gone, judged by the time that the prompt took.
 ///
-/// A leaving engine serves copies until it is gone, and its last report stays valid for seconds after that. Meanwhile every
-/// prompt that is to copy from it would wait in vain. A source that is not leaving is never taken for gone here, since the
-/// prefill engine itself may have been slow.
+/// A leaving engine serves copies until it is gone, and its last report stays valid for seconds after that. Meanwhile
+/// every prompt that is to copy from it would wait in vain. A source that is not leaving is never taken for gone here,
+/// since the prefill engine itself may have been slow.
 pub fn is_source_lost(source: &ServingEndpoint, expected: Duration, took: Duration) -> bool {
     source.phase != EndpointPhase::Ready && took > expected + LOST_SOURCE_DELAY
 }
@@ -183,8 +184,9 @@
 
 /// The two engines that most probably cache the shared parts of a prompt.
 ///
-/// Engines to which this entry has sent these parts come first, then the others in the order of their hashes. If the home
-/// has just joined, the second engine is its predecessor. An engine that has just begun to leave is still considered.
+/// Engines to which this entry has sent these parts come first, then the others in the order of their hashes. If the
+/// home has just joined, the second engine is its predecessor. An engine that has just begun to leave is still
+/// considered.
 #[derive(Clone, Copy, Debug, Default)]
 struct LikelyKeepers<'table> {
     first: Option<Candidate<'table>>,
--- a/crates/acaciabay/src/ops/plan_deliveries.rs
+++ b/crates/acaciabay/src/ops/plan_deliveries.rs
@@ -33,8 +33,8 @@
 ///
 /// - The endpoint has a newer incarnation, which has never received the order.
 /// - The endpoint has reported the state that the order asks for, and the report is newer than the moment from which no
-///   copy of the order can still be in transit. An older report may show the state before the preceding order, and a copy
-///   in transit could undo a later order.
+///   copy of the order can still be in transit. An older report may show the state before the preceding order, and a
+///   copy in transit could undo a later order.
 pub fn plan_deliveries(
     now: BootTime,
     orders: &OrderTable,
--- a/crates/acaciabay/src/ops/plan_members.rs
+++ b/crates/acaciabay/src/ops/plan_members.rs
@@ -15,8 +15,8 @@
 
 /// Returns the member that has to leave, if any.
 ///
-/// A lost learner leaves first. Otherwise the voter that has been silent longest leaves, provided that a learner has caught
-/// up and the group has as many voters as it wants.
+/// A lost learner leaves first. Otherwise the voter that has been silent longest leaves, provided that a learner has
+/// caught up and the group has as many voters as it wants.
 ///
 /// Without this, a permanently lost voter would count in every quorum, and the next loss would stop the group. A silent
 /// voter stays if no learner can replace it, since its removal would not restore a copy of the log.
--- a/crates/acaciabay/src/ops/plan_pool.rs
+++ b/crates/acaciabay/src/ops/plan_pool.rs
@@ -1,9 +1,9 @@
 //! Capacity planning for a service: the number and kind of endpoints to order in each failure domain.
 //!
-//! An on-demand endpoint (`lasting` in the code) stays until it is released. A reclaimable one costs a fraction of that,
-//! but the platform may reclaim all of them in a failure domain within seconds and then have no replacements for a while.
-//! So every domain keeps a minimum of on-demand endpoints, and enough reclaimable ones that losing those of two domains
-//! leaves what the load needs.
+//! An on-demand endpoint (`lasting` in the code) stays until it is released. A reclaimable one costs a fraction of
+//! that, but the platform may reclaim all of them in a failure domain within seconds and then have no replacements for
+//! a while. So every domain keeps a minimum of on-demand endpoints, and enough reclaimable ones that losing those of
+//! two domains leaves what the load needs.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -177,8 +177,8 @@
 
 /// Returns how many endpoints may be removed without affecting callers.
 ///
-/// During a shortage the result is 0, whatever the plan says: replacing one kind by the other takes seconds, and callers
-/// would wait meanwhile. Before the first call there is no limit, since nobody waits.
+/// During a shortage the result is 0, whatever the plan says: replacing one kind by the other takes seconds, and
+/// callers would wait meanwhile. Before the first call there is no limit, since nobody waits.
 const fn expendable_endpoints(view: &PoolView) -> u32 {
     if view.is_idle {
         u32::MAX
--- a/crates/acaciabay/src/ops/plan_stages.rs
+++ b/crates/acaciabay/src/ops/plan_stages.rs
@@ -1,8 +1,8 @@
 //! Assignment of a service's engines to the prefill and decode stages.
 //!
 //! Decoding needs a slot and memory for each running stream, so its load follows from the streams that run. The prefill
-//! load changes by factors when the mix of requests shifts. As many engines decode as the running streams need, but never
-//! fewer than keep the service going when a failure domain is lost. All others prefill.
+//! load changes by factors when the mix of requests shifts. As many engines decode as the running streams need, but
+//! never fewer than keep the service going when a failure domain is lost. All others prefill.
 
 use std::collections::BTreeMap;
 
@@ -27,8 +27,8 @@
 /// then decoded in the domain in which it was prefilled.
 const ENGINES_PER_DECODER: usize = 4;
 
-/// Number of engines per decode engine while few streams run. With fewer decode engines, a sudden start of traffic would
-/// find too few, and each change of stage takes seconds.
+/// Number of engines per decode engine while few streams run. With fewer decode engines, a sudden start of traffic
+/// would find too few, and each change of stage takes seconds.
 const ENGINES_PER_IDLE_DECODER: usize = 16;
 
 /// A change of an engine's stage.
@@ -45,7 +45,7 @@
 pub struct StageWork {
     /// Engines that take calls.
     pub present: usize,
-    /// Engines that have been ordered, including those that have not started yet.
+    /// Engines that the pool plan calls for, including those that have not started yet.
     pub expected: usize,
     /// Engines that decode now, or 0 while no call runs, since a change of stage then delays no call.
     pub decoders: usize,
@@ -60,7 +60,8 @@
 /// Returns how many engines should decode.
 ///
 /// If there are fewer engines than both stages need, they are divided in proportion to the needs. Otherwise a burst of
-/// streams would take engines from prefill until hardly any prompt is prefilled in time and the decode engines run idle.
+/// streams would take engines from prefill until hardly any prompt is prefilled in time and the decode engines run
+/// idle.
 pub fn wanted_decoders(work: &StageWork, spec: &EngineSpec) -> usize {
     let StageWork { domains, demand, .. } = work;
     let engines = work.present.max(work.expected);
@@ -88,9 +89,9 @@
 
 /// Returns how many of the current decode engines may keep decoding although the streams need fewer.
 ///
-/// An engine that changes its stage takes no calls until its longest stream has ended and the change is made. In the next
-/// burst it is missing from decode, so that all streams slow down and the longest miss their deadlines. So engines change
-/// only if prefill needs them, where the need allows for the loss of a failure domain.
+/// An engine that changes its stage takes no calls until its longest stream has ended and the change is made. In the
+/// next burst it is missing from decode, so that all streams slow down and the longest miss their deadlines. So engines
+/// change only if prefill needs them, where the need allows for the loss of a failure domain.
 fn retained_decoders(work: &StageWork) -> usize {
     let domains = work.domains.max(2) as f64;
     let prefill_engines = PREFILL_HEADROOM * work.prefill_engines * domains / (domains - 1.0);
@@ -108,9 +109,9 @@
 /// Decode engines stay spread over the failure domains: the next one is taken from the domain with the fewest, and the
 /// next prefill engine from the domain with the most.
 ///
-/// Engines that the platform cannot reclaim are preferred for decode. The prefill work of a reclaimed engine can be
-/// repeated elsewhere, but its streams break off. If a reclaimable engine decodes while another kind prefills, the latter
-/// changes first; the reclaimable one is then surplus and follows in a later plan.
+/// On-demand engines are preferred for decode. The prefill work of a reclaimed engine can be repeated elsewhere, but
+/// its streams break off. If a reclaimable engine decodes while an on-demand one prefills, the on-demand one changes
+/// first. The reclaimable one is then surplus and changes in a later plan.
 pub fn plan_stages(engines: &[Engine<'_>], wanted: usize) -> Vec<StageChange> {
     let mut decoders = engines_in_stage(engines, EngineStage::Decode);
     let mut prefill_engines = engines_in_stage(engines, EngineStage::Prefill);
--- a/crates/acaciabay/src/ops/plan_windows.rs
+++ b/crates/acaciabay/src/ops/plan_windows.rs
@@ -1,8 +1,8 @@
 //! Choice of the usage windows to seal.
 //!
-//! A window is sealed once, and usage that is reported later is never billed. Entries report several times a second, so a
-//! window is complete shortly after its end unless an entry is cut off. The window then waits for that entry as long as
-//! enough time remains to deliver it.
+//! A window is sealed once, and usage that is reported later is never billed. Entries report several times a second, so
+//! a window is complete shortly after its end unless an entry is cut off. The window then waits for that entry as long
+//! as enough time remains to deliver it.
 
 use std::time::Duration;
 
@@ -13,8 +13,8 @@
 const EARLY_PART: f64 = 0.35;
 /// Fraction of the delivery deadline after which a window is sealed in any case. The rest is for delivery and retries.
 const LATE_PART: f64 = 0.7;
-/// Largest number of windows before the latest one that may still be sealed. Older windows were due long ago, and a group
-/// that starts over does not report them.
+/// Largest number of windows before the latest one that may still be sealed. Older windows were due long ago, and a
+/// group that starts over does not report them.
 const MOST_BEHIND: u64 = 12;
 
 /// The current time and the timing of usage windows.
--- a/crates/acaciabay/src/ops/replace_refused.rs
+++ b/crates/acaciabay/src/ops/replace_refused.rs
@@ -1,9 +1,9 @@
 //! Replacement of refused reclaimable endpoints by on-demand ones.
 //!
-//! The platform reclaims all reclaimable endpoints of a failure domain at once, often in several domains in a row, and may
-//! refuse new ones for ten seconds or more. On-demand endpoints (`lasting` in the code) start within seconds. They are
-//! ordered evenly over the domains that have room, so that room is left for reclaimable ones once they are available
-//! again. The regular plan then releases them.
+//! The platform reclaims all reclaimable endpoints of a failure domain at once, often in several domains in a row, and
+//! may refuse new ones for ten seconds or more. On-demand endpoints (`lasting` in the code) start within seconds. They
+//! are ordered evenly over the domains that have room, so that room is left for reclaimable ones once they are
+//! available again. The regular plan then releases them.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,8 @@
 use crate::core::serving::config::PoolSpec;
 use crate::ops::plan_pool::{DomainPool, PoolView, TOLERATED_DOMAIN_LOSSES};
 
-/// Returns the wanted endpoints of each failure domain, with on-demand ones in place of those that the platform refuses.
+/// Returns the wanted endpoints of each failure domain, with on-demand ones in place of those that the platform
+/// refuses.
 pub fn replace_refused(
     spec: &PoolSpec,
     wanted: &BTreeMap<DomainName, DomainPool>,
@@ -41,8 +42,8 @@
 
 /// Returns how many of the remaining endpoints are at risk and must not be counted on.
 ///
-/// Once the platform refuses as many domains as the plan holds a reserve for, that reserve is used up. If one more domain
-/// were lost, only the replacements ordered now would be there, since on-demand endpoints take seconds to start.
+/// Once the platform refuses as many domains as the plan holds a reserve for, that reserve is used up. If one more
+/// domain were lost, only the replacements ordered now would be there, since on-demand endpoints take seconds to start.
 fn endpoints_at_risk(expected: &BTreeMap<&DomainName, DomainPool>, view: &PoolView) -> u32 {
     let refused = u32::try_from(view.refused.len()).unwrap_or(u32::MAX);
     if refused < TOLERATED_DOMAIN_LOSSES {
--- a/crates/acaciabay/src/ops/route_request.rs
+++ b/crates/acaciabay/src/ops/route_request.rs
@@ -26,9 +26,9 @@
 ///
 /// # Errors
 ///
-/// Returns [`RouteRefusal::NoRoute`] if the customer may not use the target, and [`RouteRefusal::NoPool`] if the pool of the
-/// route does not exist. The two are distinct because routes refer to pools by name only, so that the tables may disagree
-/// for a while: a request to a missing pool is refused as not run.
+/// Returns [`RouteRefusal::NoRoute`] if the customer may not use the target, and [`RouteRefusal::NoPool`] if the pool
+/// of the route does not exist. The two are distinct because routes refer to pools by name only, so that the tables may
+/// disagree for a while: a request to a missing pool is refused as not run.
 pub fn route_request<'config>(
     config: &'config EntryConfig,
     customer: &CustomerName,
--- a/crates/acaciabay/src/ops/split_call.rs
+++ b/crates/acaciabay/src/ops/split_call.rs
@@ -1,15 +1,15 @@
 //! Decision between prefill on the decode engine and prefill on a separate engine.
 //!
-//! A decode engine prefills at half the speed of a prefill engine, and all its streams wait meanwhile. But a short prompt
-//! takes it less time than the round trip to a prefill engine and the copy of the prompt's memory, and on a prefill engine
-//! it would queue behind long prompts in every burst.
+//! A decode engine prefills at half the speed of a prefill engine, and all its streams wait meanwhile. But a short
+//! prompt takes it less time than the round trip to a prefill engine and the copy of the prompt's memory, and on a
+//! prefill engine it would queue behind long prompts in every burst.
 
 use crate::core::serving::prompt::PromptShape;
 
 /// Ratio of the prefill time on a decode engine to that on a prefill engine.
 const MAKER_FACTOR: f64 = 2.0;
-/// Overhead of a separate prefill engine beside the prefill itself, in milliseconds: the round trip, a step of the engine
-/// and the copy. The streams of a decode engine tolerate a pause of this length for one prompt.
+/// Overhead of a separate prefill engine beside the prefill itself, in milliseconds: the round trip, a step of the
+/// engine and the copy. The streams of a decode engine tolerate a pause of this length for one prompt.
 const READER_DETOUR_MS: f64 = 4.0;
 
 /// Returns `true` if the decode engine should also prefill the prompt.
--- a/crates/acaciabay/tests/serving/members.rs
+++ b/crates/acaciabay/tests/serving/members.rs
@@ -50,9 +50,9 @@
     }
 }
 
-/// Guards against the removal of a new member right after it is admitted, over and over. The leader has led for many rounds,
-/// and the host has an empty disk and has not answered yet. If it counted as silent since the first round, it would be
-/// removed at once.
+/// Guards against the removal of a new member right after it is admitted, over and over. The leader has led for many
+/// rounds, and the host has an empty disk and has not answered yet. If it counted as silent since the first round, it
+/// would be removed at once.
 #[test]
 fn a_new_member_is_not_silent() {
     let (mut replica, mut now) = lone_leader(QuorumPolicy::default());
@@ -66,7 +66,7 @@
         address: "10.0.0.2:1".to_owned(),
         disk: DiskId(70_000),
     };
-    replica.change_members(change).expect("nothing else changes");
+    replica.change_members(change).expect("no other change is in progress");
     settle(&mut replica);
 
     let followers = replica.followers();
@@ -121,7 +121,8 @@
                     continue;
                 }
                 let to = self.replicas.iter_mut().find(|replica| replica.id() == message.to);
-                to.expect("there are three").step(self.now, message);
+                to.expect("the recipient is one of the three replicas")
+                    .step(self.now, message);
             }
         }
     }
@@ -131,12 +132,12 @@
             .replicas
             .iter_mut()
             .find(|replica| replica.role() == ReplicaRole::Leader);
-        leader.expect("one leads")
+        leader.expect("a leader has been elected")
     }
 }
 
-/// Guards against the loss of an accepted log entry. The policy allows for two disks lost at once, and only three hosts have
-/// a disk so far. An entry that is accepted once a majority, two disks, has it would be lost with both.
+/// Guards against the loss of an accepted log entry. The policy allows for two disks lost at once, and only three hosts
+/// have a disk so far. An entry that is accepted once a majority, two disks, has it would be lost with both.
 #[test]
 fn an_entry_counts_only_on_as_many_disks_as_the_policy_says() {
     let policy = QuorumPolicy {
@@ -149,7 +150,7 @@
     let other = ReplicaId(leader.0 % 3 + 1);
     trio.leader()
         .propose(bytes::Bytes::from_static(b"x"))
-        .expect("it leads");
+        .expect("the replica is the leader");
     let proposed = trio.leader().log().last_index();
 
     trio.run(400, &[other]);
@@ -161,8 +162,8 @@
     assert!(on_three_disks >= proposed);
 }
 
-/// Guards against more voters than the policy wants. All of them are present and one more host joins; if it became a voter
-/// as well, a tolerated number of losses could leave no majority.
+/// Guards against more voters than the policy wants. All of them are present and one more host joins; if it became a
+/// voter as well, a tolerated number of losses could leave no majority.
 #[test]
 fn no_more_vote_than_are_wanted() {
     let policy = QuorumPolicy {
@@ -175,7 +176,7 @@
         address: "10.0.0.2:1".to_owned(),
         disk: DiskId(70_000),
     };
-    let (index, learner) = replica.change_members(change).expect("nothing else changes");
+    let (index, learner) = replica.change_members(change).expect("no other change is in progress");
     settle(&mut replica);
 
     for round in 0..20 {
@@ -199,8 +200,8 @@
     assert!(!replica.members().is_voter(learner));
 }
 
-/// Guards against a permanently lost voter that stays although a learner could replace it: the loss of one more voter would
-/// stop the group.
+/// Guards against a permanently lost voter that stays although a learner could replace it: the loss of one more voter
+/// would stop the group.
 #[test]
 fn a_substitute_takes_the_place_of_the_longest_silent_voter() {
     let short = VOTER_SILENCE;
@@ -215,8 +216,8 @@
     assert_eq!(plan_members(&followers, 5, 5), Some(ReplicaId(3)));
 }
 
-/// Guards against the removal of a silent voter that no learner can replace. The removal would not restore a copy of the
-/// log.
+/// Guards against the removal of a silent voter that no learner can replace. The removal would not restore a copy of
+/// the log.
 #[test]
 fn a_silent_voter_stays_without_a_substitute() {
     let silent = follower(2, true, VOTER_SILENCE * 10);
--- a/crates/acaciabay/tests/serving/placement.rs
+++ b/crates/acaciabay/tests/serving/placement.rs
@@ -38,9 +38,9 @@
     assert_ne!(near(&loads), Some(name("e2")));
 }
 
-/// Guards against many entries choosing the same engine. Two hundred entries place a stream within the same quarter of a
-/// second, before they learn of each other's streams. If all chose the engine with the fewest streams, its slots would
-/// fill up while other engines are free.
+/// Guards against many entries choosing the same engine. Two hundred entries place a stream within the same quarter of
+/// a second, before they learn of each other's streams. If all chose the engine with the fewest streams, its slots
+/// would fill up while other engines are free.
 #[test]
 fn entries_that_do_not_hear_of_each_other_spread_their_streams() {
     let rows = rows(8, EngineStage::Decode);
@@ -64,8 +64,9 @@
     assert!(streams.values().all(|count| *count < 64), "{streams:?}");
 }
 
-/// Guards against calls to an engine that is changing its stage. An engine ordered to prefill first finishes its running
-/// calls, which takes longer than the change itself. Calls placed by its last report would be refused until the next one.
+/// Guards against calls to an engine that is changing its stage. An engine ordered to prefill first finishes its
+/// running calls, which takes longer than the change itself. Calls placed by its last report would be refused until the
+/// next one.
 #[test]
 fn an_engine_rests_until_it_reports_what_was_ordered() {
     let mut loads = LoadTable::default();
--- a/crates/acaciabay/tests/serving/pools.rs
+++ b/crates/acaciabay/tests/serving/pools.rs
@@ -43,8 +43,8 @@
     assert!(wanted.values().all(|pool| pool.reclaimable == 0));
 }
 
-/// Guards against a release in all domains at once. The platform chooses the endpoints that it removes and may choose all
-/// decode engines; callers would then find none until other engines have changed their stage.
+/// Guards against a release in all domains at once. The platform chooses the endpoints that it removes and may choose
+/// all decode engines; callers would then find none until other engines have changed their stage.
 #[test]
 fn on_demand_endpoints_are_released_one_domain_at_a_time() {
     let view = busy(counts(3, 3), 9, 18);
@@ -54,8 +54,8 @@
     assert_eq!(changes.iter().filter(|change| change.is_release).count(), 1);
 }
 
-/// Guards against shrinking other domains after the platform has reclaimed all endpoints of one. The load has fallen, so
-/// the regular plan would remove as many endpoints again at the same moment.
+/// Guards against shrinking other domains after the platform has reclaimed all endpoints of one. The load has fallen,
+/// so the regular plan would remove as many endpoints again at the same moment.
 #[test]
 fn nothing_shrinks_while_a_domain_lacks_endpoints() {
     let mut view = busy(counts(1, 9), 9, 21);
@@ -71,7 +71,8 @@
     );
 }
 
-/// Guards against a loss of capacity when one domain has no reclaimable endpoints: the others are asked for the shortfall.
+/// Guards against a loss of capacity when one domain has no reclaimable endpoints: the others are asked for the
+/// shortfall.
 #[test]
 fn other_domains_make_up_for_a_refusal() {
     let mut view = busy(counts(1, 6), 9, 15);
@@ -87,9 +88,9 @@
     assert_eq!(desired, [("a", 9), ("b", 6), ("c", 9)]);
 }
 
-/// Guards against removing reclaimable endpoints before their on-demand replacements serve. A burst arrives just after one
-/// domain has lost its reclaimable endpoints, and the plan for that load wants more on-demand and fewer reclaimable ones.
-/// Without the latter at the peak, callers are refused for seconds.
+/// Guards against removing reclaimable endpoints before their on-demand replacements serve. A burst arrives just after
+/// one domain has lost its reclaimable endpoints, and the plan for that load wants more on-demand and fewer reclaimable
+/// ones. Without the latter at the peak, callers are refused for seconds.
 #[test]
 fn kinds_are_not_exchanged_while_fewer_serve_than_are_needed() {
     let mut view = busy(counts(1, 5), 31, 13);
@@ -116,9 +117,9 @@
     assert_eq!(changes.len(), 1, "{changes:?}");
 }
 
-/// Guards against refused calls while the platform has nothing to offer. It reclaims two of three domains in a row and has
-/// no reclaimable endpoints for ten seconds; on-demand ones start in four. Without them, eight endpoints do the work of
-/// twelve, and callers are refused until reclaimable ones are available again.
+/// Guards against refused calls while the platform has nothing to offer. It reclaims two of three domains in a row and
+/// has no reclaimable endpoints for ten seconds; on-demand ones start in four. Without them, eight endpoints do the
+/// work of twelve, and callers are refused until reclaimable ones are available again.
 #[test]
 fn on_demand_endpoints_replace_refused_ones() {
     let mut view = busy(counts(1, 0), 9, 8);
@@ -132,7 +133,8 @@
     assert_eq!(lasting, [1, 4, 4]);
 }
 
-/// Guards against a shortage when the platform reclaims one of three domains and the load exceeds what the others carry.
+/// Guards against a shortage when the platform reclaims one of three domains and the load exceeds what the others
+/// carry.
 #[test]
 fn one_refused_domain_is_replaced_as_far_as_the_load_needs() {
     let mut view = busy(counts(1, 4), 12, 11);
@@ -223,8 +225,8 @@
     assert!(!need.is_measured());
 }
 
-/// Guards against a start-up reserve after each change of leader. A leader that takes over while calls run would otherwise
-/// treat the system as just started and add a reserve, which is paid for until the load falls.
+/// Guards against a start-up reserve after each change of leader. A leader that takes over while calls run would
+/// otherwise treat the system as just started and add a reserve, which is paid for until the load falls.
 #[test]
 fn a_later_leader_adds_no_reserve() {
     let mut need = ReadingNeed::default();
@@ -237,8 +239,8 @@
 proptest! {
     #![proptest_config(fixed_cases())]
 
-    /// After the platform reclaims all reclaimable endpoints of any two domains, the rest carries the load as far as the
-    /// limits allow, and no domain exceeds its limit.
+    /// After the platform reclaims all reclaimable endpoints of any two domains, the rest carries the load as far as
+    /// the limits allow, and no domain exceeds its limit.
     #[test]
     fn the_loss_of_two_domains_leaves_what_is_needed(needed in 0_u32..60, most in 2_u32..20) {
         let names = domains(&["a", "b", "c"]);
--- a/crates/acaciabay/tests/serving/stages.rs
+++ b/crates/acaciabay/tests/serving/stages.rs
@@ -58,9 +58,9 @@
     assert_eq!(wanted(264, 4, 0.0, 0.0), 16);
 }
 
-/// Guards against a burst of streams starving prefill. The platform has reclaimed two of three domains, and eight engines
-/// are left for the work of eleven. The running streams would fill six of them; with two left for prefill, every prompt
-/// would wait for a second and most would be refused.
+/// Guards against a burst of streams starving prefill. The platform has reclaimed two of three domains, and eight
+/// engines are left for the work of eleven. The running streams would fill six of them; with two left for prefill,
+/// every prompt would wait for a second and most would be refused.
 #[test]
 fn too_few_engines_are_divided_between_prefill_and_decode() {
     let decoders = wanted(8, 3, 162.0, 5.5);
@@ -98,8 +98,8 @@
     assert!(wanted_decoders(&work, &engine()) <= 4);
 }
 
-/// Guards against too many decode engines after a replacement of engines whose successors all start in the decode stage:
-/// all prompts would queue at the few prefill engines.
+/// Guards against too many decode engines after a replacement of engines whose successors all start in the decode
+/// stage: all prompts would queue at the few prefill engines.
 #[test]
 fn surplus_decoders_become_prefill_engines_in_the_domain_with_most() {
     let rows = vec![
@@ -116,8 +116,8 @@
     assert_eq!(changes[0].1, EngineStage::Prefill);
 }
 
-/// Guards against streams on an engine that the platform may reclaim at short notice while one that it cannot reclaim
-/// prefills. The latter changes to decode first, and the reclaimable engine keeps decoding until then.
+/// Guards against streams on a reclaimable engine, which the platform may reclaim at short notice, while an on-demand
+/// engine prefills. The on-demand engine changes to decode first, and the reclaimable one keeps decoding until then.
 #[test]
 fn on_demand_engines_decode() {
     let rows = vec![
@@ -171,11 +171,11 @@
             let leaving = changes.iter().filter(|change| change.1 == EngineStage::Prefill).count();
             prop_assert!(before - leaving >= before.min(wanted));
             for (name, stage) in changes {
-                let changed = rows.iter_mut().find(|row| row.0.as_str() == name).expect("it was planned");
+                let changed = rows.iter_mut().find(|row| row.0.as_str() == name).expect("the plan names only known engines");
                 changed.1.stage = Some(stage);
             }
             rounds += 1;
-            prop_assert!(rounds < 10, "plans go on for ever");
+            prop_assert!(rounds < 10, "plans do not converge");
         }
         prop_assert_eq!(decoders(&rows), wanted);
     }
