--- a/crates/acacia-entry/src/serving/choice.rs
+++ b/crates/acacia-entry/src/serving/choice.rs
@@ -5,7 +5,7 @@
 use acaciabay::core::serving::endpoint_registry::{EngineStage, ServingEndpoint};
 use acaciabay::core::serving::prompt::PromptShape;
 use acaciabay::ops::place_call::{PlacementView, place_plain, place_stream};
-use acaciabay::ops::place_prompt::{PromptEngines, PromptPlace, place_prompt};
+use acaciabay::ops::place_prompt::{PromptEngines, PromptPlacement, place_prompt};
 
 use super::shared::{EntryShared, EntryView};
 
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct ChosenReader {
     pub(super) engine: ChosenEndpoint,
-    pub(super) place: PromptPlace,
+    pub(super) place: PromptPlacement,
     /// Where the engine may copy shared parts from.
     pub(super) copy_from: Option<ChosenEndpoint>,
 }
@@ -59,8 +59,8 @@
         keepers.retain(|(_, endpoint)| endpoint.stage == Some(EngineStage::Prefill));
         let spec = view.engine(service);
         let engines = PromptEngines {
-            readers: &readers,
-            keepers: &keepers,
+            prefill_engines: &readers,
+            sources: &keepers,
             pace: view.own_pace(service),
             link: spec.as_ref().and_then(|spec| spec.link.as_ref()),
         };
--- a/crates/acacia-entry/src/serving/prompt_read.rs
+++ b/crates/acacia-entry/src/serving/prompt_read.rs
@@ -11,7 +11,7 @@
 use acaciabay::core::serving::endpoint_load::EndpointWork;
 use acaciabay::core::serving::prompt::PromptShape;
 use acaciabay::core::serving::reading_pace::ReadingTime;
-use acaciabay::ops::place_prompt::{PromptPlace, is_source_lost};
+use acaciabay::ops::place_prompt::{PromptPlacement, is_source_lost};
 use acaciabay::util::number::whole_millis;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -218,7 +218,7 @@
     })
 }
 
-fn note_demand(call: &OpenCall, place: &PromptPlace) {
+fn note_demand(call: &OpenCall, place: &PromptPlacement) {
     let mut view = call.shared.view();
     let demand = view.demands.entry(call.service.clone()).or_default();
     demand.unread_tokens += place.unread_tokens;
--- a/crates/acacia-entry/src/serving/stream_call.rs
+++ b/crates/acacia-entry/src/serving/stream_call.rs
@@ -7,7 +7,7 @@
 use acacia_runtime::event;
 use acaciabay::core::name::EndpointName;
 use acaciabay::core::serving::endpoint_load::EndpointWork;
-use acaciabay::ops::split_call::is_read_by_maker;
+use acaciabay::ops::split_call::is_prefilled_by_decoder;
 use acaciabay::util::number::whole_millis;
 use hyper::body::Incoming;
 use hyper::header::CONTENT_LENGTH;
@@ -193,7 +193,7 @@
             return Ok(None);
         };
         let pace = self.call.shared.view().own_pace(&self.call.service);
-        if is_read_by_maker(prompt, pace) || !self.call.shared.has_readers(boot_now(), &self.call.service) {
+        if is_prefilled_by_decoder(prompt, pace) || !self.call.shared.has_readers(boot_now(), &self.call.service) {
             return Ok(None);
         }
         let repeated = self.reads > 0;
--- a/crates/acaciabay/src/ops/place_prompt.rs
+++ b/crates/acaciabay/src/ops/place_prompt.rs
@@ -16,15 +16,15 @@
 use crate::util::rendezvous;
 
 /// Estimated probability that an engine still caches a part that it has prefilled and has not evicted it since.
-const COPY_TRUST: f64 = 0.95;
+const CACHE_HIT_PROBABILITY: f64 = 0.95;
 
 /// Weight of a token that this prompt adds relative to a token that is already queued. Prefilling a shared part again
 /// delays every later prompt, not only this one.
-const READ_WEIGHT: f64 = 8.0;
+const NEW_TOKEN_WEIGHT: f64 = 8.0;
 
 /// Number of engines that share the prompts of one part: the first home and the next ones by hash. A few are enough to
 /// balance the queues, and each additional one stores another copy of the part.
-const HOMES: usize = 3;
+const HOMES_PER_PART: usize = 3;
 
 /// Cost of a home other than the first in the choice of a prefill engine, in milliseconds of its queue. A part can be
 /// copied only once an engine has prefilled it. If the first prompts with a part were scattered, several engines would
@@ -38,25 +38,25 @@
 /// Cost of an engine that must copy a part known to be cached elsewhere, in milliseconds, when every prefill engine is
 /// busy. Each copy evicts other parts, which busy engines then have to prefill again. The cost is scaled by the
 /// fraction of prefill engines that are busy.
-const KEPT_ELSEWHERE_MS: f64 = 800.0;
+const CACHED_ELSEWHERE_MS: f64 = 800.0;
 
-/// Minimum of the busy fraction by which [`KEPT_ELSEWHERE_MS`] is scaled, also if hardly any prefill engine is busy.
-const LEAST_CROWDING: f64 = 0.1;
+/// Minimum of the busy fraction by which [`CACHED_ELSEWHERE_MS`] is scaled, also if hardly any prefill engine is busy.
+const MIN_BUSY_FRACTION: f64 = 0.1;
 
 /// Range of the hash-based term that separates engines of equal cost, in milliseconds. Without it, entries that do not
 /// learn of each other's calls in time would all choose the same engine.
-const TIE_MS: f64 = 10.0;
+const TIE_BREAK_MS: f64 = 10.0;
 
 /// Fixed time of a copy beside the transfer itself, in milliseconds. The value is in the middle of current engines.
 const COPY_SETUP_MS: f64 = 4.0;
 
 /// Ratio of the transfer time from another failure domain to that within a domain, as the users' protocol specifies.
-const FAR_COPY_FACTOR: f64 = 2.0;
+const CROSS_DOMAIN_COPY_FACTOR: f64 = 2.0;
 
 /// Penalties added to the queue of a prefill engine, in milliseconds. Another failure domain costs the round trip. A
 /// recent failure costs more than any queue that callers wait for, so that the engine is used only if there is no
 /// other.
-const READER_PENALTY: EndpointPenalty = EndpointPenalty {
+const PREFILL_PENALTY: EndpointPenalty = EndpointPenalty {
     other_domain: 3.0,
     suspect: 60_000.0,
 };
@@ -65,9 +65,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PromptEngines<'table> {
     /// Engines that prefill prompts.
-    pub readers: &'table [Candidate<'table>],
+    pub prefill_engines: &'table [Candidate<'table>],
     /// Engines that may cache parts of prompts: prefill engines, and those that are leaving but still serve copies.
-    pub keepers: &'table [Candidate<'table>],
+    pub sources: &'table [Candidate<'table>],
     /// Usual prefill time per prompt token in milliseconds, if known.
     pub pace: Option<f64>,
     /// The link over which engines copy memory to each other. Without one, each engine prefills all parts itself.
@@ -76,7 +76,7 @@
 
 /// The engine chosen to prefill a prompt.
 #[derive(Clone, Debug, PartialEq)]
-pub struct PromptPlace {
+pub struct PromptPlacement {
     /// The name of the engine.
     pub endpoint: EndpointName,
     /// Tokens of this prompt that it has to prefill.
@@ -89,7 +89,7 @@
 
 /// Time beyond the estimate after which the source of a copy counts as gone. An engine that waits in vain for a copy
 /// loses a few hundred milliseconds and then prefills the part itself.
-const LOST_SOURCE_DELAY: Duration = Duration::from_millis(150);
+const LOST_SOURCE_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Returns `true` if the source of a copy is probably gone, judged by the time that the prompt took.
 ///
@@ -97,7 +97,7 @@
 /// every prompt that is to copy from it would wait in vain. A source that is not leaving is never taken for gone here,
 /// since the prefill engine itself may have been slow.
 pub fn is_source_lost(source: &ServingEndpoint, expected: Duration, took: Duration) -> bool {
-    source.phase != EndpointPhase::Ready && took > expected + LOST_SOURCE_DELAY
+    source.phase != EndpointPhase::Ready && took > expected + LOST_SOURCE_TIMEOUT
 }
 
 /// Chooses the engine that prefills a prompt.
@@ -105,17 +105,21 @@
     view: &PlacementView<'_>,
     engines: &PromptEngines<'_>,
     prompt: &PromptShape,
-) -> Option<PromptPlace> {
-    let homes = PartHomes::of(engines.readers, prompt, crowding(view, engines.readers));
-    let keepers = LikelyKeepers::of(view, engines, prompt);
-    let scored = engines.readers.iter().map(|reader| {
-        let source = keepers.beside(reader.0);
+) -> Option<PromptPlacement> {
+    let homes = PartHomes::of(
+        engines.prefill_engines,
+        prompt,
+        busy_fraction(view, engines.prefill_engines),
+    );
+    let sources = LikelySources::of(view, engines, prompt);
+    let scored = engines.prefill_engines.iter().map(|reader| {
+        let source = sources.other_than(reader.0);
         let estimate = ReadEstimate::of(view, engines, prompt, *reader, source, &homes);
         (estimate, *reader, source)
     });
     let best = scored.min_by(|one, other| one.0.cost_ms.total_cmp(&other.0.cost_ms));
     let (estimate, (name, _), source) = best?;
-    Some(PromptPlace {
+    Some(PromptPlacement {
         endpoint: name.clone(),
         unread_tokens: round_up(estimate.unread_tokens.max(1.0)),
         wait: Duration::from_secs_f64(estimate.wait_ms / 1_000.0),
@@ -123,14 +127,14 @@
     })
 }
 
-/// Returns the fraction of prefill engines that are busy, from [`LEAST_CROWDING`] to 1. It approximates the probability
-/// that extra work on one of them delays another prompt.
-fn crowding(view: &PlacementView<'_>, readers: &[Candidate<'_>]) -> f64 {
-    let busy = readers
+/// Returns the fraction of prefill engines that are busy, from [`MIN_BUSY_FRACTION`] to 1. It approximates the
+/// probability that extra work on one of them delays another prompt.
+fn busy_fraction(view: &PlacementView<'_>, prefill_engines: &[Candidate<'_>]) -> f64 {
+    let busy = prefill_engines
         .iter()
         .filter(|(name, _)| view.loads.work(name).unread_tokens > 0);
-    let part = busy.count() as f64 / readers.len().max(1) as f64;
-    part.max(LEAST_CROWDING)
+    let part = busy.count() as f64 / prefill_engines.len().max(1) as f64;
+    part.max(MIN_BUSY_FRACTION)
 }
 
 /// The home engines of a shared part in the order of their hashes, on which all entries agree.
@@ -139,32 +143,35 @@
     key: [u8; 8],
     ranked: Vec<&'table EndpointName>,
     /// The fraction of prefill engines that are busy.
-    crowding: f64,
+    busy_fraction: f64,
 }
 
 impl<'table> PartHomes<'table> {
-    fn of(readers: &[Candidate<'table>], prompt: &PromptShape, crowding: f64) -> Self {
+    fn of(prefill_engines: &[Candidate<'table>], prompt: &PromptShape, busy_fraction: f64) -> Self {
         let Some(part) = prompt.affinity() else {
             return Self {
                 key: prompt.parts.last().map_or(0, |part| part.id.0).to_be_bytes(),
                 ranked: Vec::new(),
-                crowding,
+                busy_fraction,
             };
         };
         let key = part.0.to_be_bytes();
-        let mut ranked: Vec<_> = readers.iter().map(|(name, _)| (hash_rank(&key, name), *name)).collect();
+        let mut ranked: Vec<_> = prefill_engines
+            .iter()
+            .map(|(name, _)| (hash_rank(&key, name), *name))
+            .collect();
         ranked.sort_unstable_by(|one, other| other.cmp(one));
-        ranked.truncate(HOMES);
+        ranked.truncate(HOMES_PER_PART);
         Self {
             key,
             ranked: ranked.into_iter().map(|(_, name)| name).collect(),
-            crowding,
+            busy_fraction,
         }
     }
 
     /// Returns the term that separates engines of equal cost, in milliseconds.
-    fn tie_ms(&self, name: &EndpointName) -> f64 {
-        TIE_MS * hash_rank(&self.key, name) as f64 / u64::MAX as f64
+    fn tie_break_ms(&self, name: &EndpointName) -> f64 {
+        TIE_BREAK_MS * hash_rank(&self.key, name) as f64 / u64::MAX as f64
     }
 
     /// Returns the cost of an engine that is not the first home of the part, in milliseconds.
@@ -188,33 +195,33 @@
 /// home has just joined, the second engine is its predecessor. An engine that has just begun to leave is still
 /// considered.
 #[derive(Clone, Copy, Debug, Default)]
-struct LikelyKeepers<'table> {
+struct LikelySources<'table> {
     first: Option<Candidate<'table>>,
     second: Option<Candidate<'table>>,
 }
 
-impl<'table> LikelyKeepers<'table> {
+impl<'table> LikelySources<'table> {
     fn of(view: &PlacementView<'_>, engines: &PromptEngines<'table>, prompt: &PromptShape) -> Self {
         let (Some(_), Some(part)) = (engines.link, prompt.affinity()) else {
             return Self::default();
         };
         let key = part.0.to_be_bytes();
         let shared = prompt.shared_parts();
-        let sound = engines
-            .keepers
+        let healthy = engines
+            .sources
             .iter()
             .filter(|(name, _)| !view.loads.is_suspected(view.now, name));
-        let mut ranked: Vec<_> = sound
-            .map(|keeper| {
+        let mut ranked: Vec<_> = healthy
+            .map(|source| {
                 (
-                    view.loads.kept_tokens(keeper.0, shared),
-                    hash_rank(&key, keeper.0),
-                    *keeper,
+                    view.loads.kept_tokens(source.0, shared),
+                    hash_rank(&key, source.0),
+                    *source,
                 )
             })
             .collect();
         ranked.sort_unstable_by_key(|(kept, rank, _)| std::cmp::Reverse((*kept, *rank)));
-        let mut best = ranked.into_iter().map(|(_, _, keeper)| keeper);
+        let mut best = ranked.into_iter().map(|(_, _, source)| source);
         Self {
             first: best.next(),
             second: best.next(),
@@ -222,7 +229,7 @@
     }
 
     /// Returns the more probable engine other than `reader`.
-    fn beside(&self, reader: &EndpointName) -> Option<Candidate<'table>> {
+    fn other_than(&self, reader: &EndpointName) -> Option<Candidate<'table>> {
         self.first.filter(|(name, _)| *name != reader).or(self.second)
     }
 }
@@ -250,26 +257,30 @@
         let missing = (shared as f64 - kept).max(0.0);
         let source_kept = source.map_or(0, |(source, _)| view.loads.kept_tokens(source, prompt.shared_parts()));
         let copied = (source_kept as f64 - kept).max(0.0);
-        let hoped = COPY_TRUST * copied;
+        let expected_copied = CACHE_HIT_PROBABILITY * copied;
         let copy_ms = match (engines.link, source) {
             (Some(link), Some((_, source))) if copied > 0.0 => copy_ms(link, copied, endpoint, source),
             _ => 0.0,
         };
-        let place_ms = if missing <= 0.0 {
+        let locality_ms = if missing <= 0.0 {
             0.0
         } else if copied >= missing {
-            KEPT_ELSEWHERE_MS * homes.crowding
+            CACHED_ELSEWHERE_MS * homes.busy_fraction
         } else {
             homes.penalty_ms(name)
         };
-        let unread_tokens = (prompt.prompt_tokens as f64 - kept - hoped).max(0.0);
+        let unread_tokens = (prompt.prompt_tokens as f64 - kept - expected_copied).max(0.0);
         let queued = view.loads.work(name).unread_tokens as f64;
         let pace = view.loads.pace(name, engines.pace);
-        let read_ms = (queued + READ_WEIGHT * unread_tokens) * pace;
+        let read_ms = (queued + NEW_TOKEN_WEIGHT * unread_tokens) * pace;
         Self {
             unread_tokens,
             wait_ms: (queued + unread_tokens) * pace + copy_ms,
-            cost_ms: read_ms + copy_ms + place_ms + homes.tie_ms(name) + READER_PENALTY.of(view, reader, view.domain),
+            cost_ms: read_ms
+                + copy_ms
+                + locality_ms
+                + homes.tie_break_ms(name)
+                + PREFILL_PENALTY.of(view, reader, view.domain),
         }
     }
 }
@@ -278,7 +289,7 @@
     let factor = if reader.domain == source.domain {
         1.0
     } else {
-        FAR_COPY_FACTOR
+        CROSS_DOMAIN_COPY_FACTOR
     };
     COPY_SETUP_MS + factor * link.copy_ms(tokens)
 }
--- a/crates/acaciabay/src/ops/split_call.rs
+++ b/crates/acaciabay/src/ops/split_call.rs
@@ -7,14 +7,14 @@
 use crate::core::serving::prompt::PromptShape;
 
 /// Ratio of the prefill time on a decode engine to that on a prefill engine.
-const MAKER_FACTOR: f64 = 2.0;
+const DECODER_PREFILL_FACTOR: f64 = 2.0;
 /// Overhead of a separate prefill engine beside the prefill itself, in milliseconds: the round trip, a step of the
 /// engine and the copy. The streams of a decode engine tolerate a pause of this length for one prompt.
-const READER_DETOUR_MS: f64 = 4.0;
+const SEPARATE_PREFILL_OVERHEAD_MS: f64 = 4.0;
 
 /// Returns `true` if the decode engine should also prefill the prompt.
 ///
 /// `pace` is the time in milliseconds that a prefill engine takes per prompt token, or `None` until it was measured.
-pub fn is_read_by_maker(prompt: &PromptShape, pace: Option<f64>) -> bool {
-    pace.is_some_and(|pace| MAKER_FACTOR * pace * prompt.prompt_tokens as f64 <= READER_DETOUR_MS)
+pub fn is_prefilled_by_decoder(prompt: &PromptShape, pace: Option<f64>) -> bool {
+    pace.is_some_and(|pace| DECODER_PREFILL_FACTOR * pace * prompt.prompt_tokens as f64 <= SEPARATE_PREFILL_OVERHEAD_MS)
 }
--- a/crates/acaciabay/tests/serving/reading.rs
+++ b/crates/acaciabay/tests/serving/reading.rs
@@ -8,8 +8,8 @@
 use acaciabay::core::serving::endpoint_registry::{EndpointPhase, EngineStage, ServingEndpoint};
 use acaciabay::core::serving::prompt::PromptShape;
 use acaciabay::ops::place_call::PlacementView;
-use acaciabay::ops::place_prompt::{PromptEngines, PromptPlace, is_source_lost, place_prompt};
-use acaciabay::ops::split_call::is_read_by_maker;
+use acaciabay::ops::place_prompt::{PromptEngines, PromptPlacement, is_source_lost, place_prompt};
+use acaciabay::ops::split_call::is_prefilled_by_decoder;
 
 use crate::fixtures::{EngineRows, at, candidates, link, name, numbered, prompt, rows, unread};
 
@@ -19,7 +19,7 @@
 }
 
 /// Places it where engines copy from each other.
-fn place_copying(loads: &LoadTable, readers: &EngineRows, shared: u64) -> PromptPlace {
+fn place_copying(loads: &LoadTable, readers: &EngineRows, shared: u64) -> PromptPlacement {
     place_with(loads, readers, readers, true, shared)
 }
 
@@ -29,7 +29,7 @@
     keepers: &[(EndpointName, ServingEndpoint)],
     copies: bool,
     shared: u64,
-) -> PromptPlace {
+) -> PromptPlacement {
     let domain = DomainName::new("a");
     let view = PlacementView {
         now: at(0),
@@ -38,8 +38,8 @@
     };
     let link = link();
     let engines = PromptEngines {
-        readers: &candidates(readers),
-        keepers: &candidates(keepers),
+        prefill_engines: &candidates(readers),
+        sources: &candidates(keepers),
         pace: None,
         link: copies.then_some(&link),
     };
@@ -169,8 +169,8 @@
     };
     let expected = |pace| {
         let engines = PromptEngines {
-            readers: &candidates(&readers),
-            keepers: &candidates(&readers),
+            prefill_engines: &candidates(&readers),
+            sources: &candidates(&readers),
             pace,
             link: Some(&link),
         };
@@ -206,8 +206,8 @@
         loads: &loads,
     };
     let engines = PromptEngines {
-        readers: &candidates(&readers),
-        keepers: &candidates(&readers),
+        prefill_engines: &candidates(&readers),
+        sources: &candidates(&readers),
         pace: None,
         link: None,
     };
@@ -299,10 +299,10 @@
         ..prompt(5, 99)
     };
 
-    assert!(is_read_by_maker(&shape(220), Some(0.005)));
-    assert!(!is_read_by_maker(&shape(9_000), Some(0.005)));
-    assert!(!is_read_by_maker(&shape(220), Some(0.05)));
-    assert!(!is_read_by_maker(&shape(220), None));
+    assert!(is_prefilled_by_decoder(&shape(220), Some(0.005)));
+    assert!(!is_prefilled_by_decoder(&shape(9_000), Some(0.005)));
+    assert!(!is_prefilled_by_decoder(&shape(220), Some(0.05)));
+    assert!(!is_prefilled_by_decoder(&shape(220), None));
 }
 
 /// A prompt has no part that others share. There is nothing to copy, and any engine will do.
@@ -320,8 +320,8 @@
     };
     let link = link();
     let engines = PromptEngines {
-        readers: &candidates(&readers),
-        keepers: &candidates(&readers),
+        prefill_engines: &candidates(&readers),
+        sources: &candidates(&readers),
         pace: None,
         link: Some(&link),
     };
