--- a/crates/acacia-entry/src/serving/renewal_message.rs
+++ b/crates/acacia-entry/src/serving/renewal_message.rs
@@ -20,7 +20,7 @@
         .own_work()
         .map(|(name, work)| use_to_wire(name, work))
         .collect();
-    let kept = view.kept_news.take();
+    let kept = view.kept_news.take_pending();
     let demands = std::mem::take(&mut view.demands);
     let paces: BTreeMap<_, _> = demands
         .keys()
--- a/crates/acacia-entry/src/serving/shared.rs
+++ b/crates/acacia-entry/src/serving/shared.rs
@@ -18,7 +18,7 @@
 use acaciabay::core::serving::endpoint_load::{EndpointWork, LoadTable};
 use acaciabay::core::serving::endpoint_registry::EndpointRegistry;
 use acaciabay::core::serving::group_clock::GroupClock;
-use acaciabay::core::serving::kept_parts::{KeptNews, KeptPart};
+use acaciabay::core::serving::kept_parts::{CachedPartOutbox, KeptPart};
 use acaciabay::core::serving::lease_recovery::LeaseOutage;
 use acaciabay::core::serving::prompt::PromptShape;
 use acaciabay::core::serving::reading_pace::{PrefillPace, PrefillTime};
@@ -71,7 +71,7 @@
     pub(super) starts: StartCounts,
     pub(super) clock: GroupClock,
     /// What engines have read for this entry and for others.
-    pub(super) kept_news: KeptNews,
+    pub(super) kept_news: CachedPartOutbox,
     pub(super) demands: BTreeMap<ServiceName, DemandCount>,
     paces: BTreeMap<ServiceName, PrefillPace>,
     answer_paces: BTreeMap<ServiceName, AnswerLatency>,
@@ -101,7 +101,7 @@
         };
         let service = endpoint.service.clone();
         let memory = self.engine(&service).map_or(0, |engine| engine.memory_tokens);
-        self.kept_news.hear(kept);
+        self.kept_news.record_announced(kept);
         self.loads.record_prefill(&kept.engine, &[kept.part], memory);
     }
 
--- a/crates/acaciabay/src/core/serving/kept_parts.rs
+++ b/crates/acaciabay/src/core/serving/kept_parts.rs
@@ -21,10 +21,10 @@
 
 /// Maximum number of rows in the log, from which entries that start are brought up to date. It is about the number of
 /// parts that the engines of a deployment have cached.
-const MOST_ROWS: usize = 8_192;
+const MAX_ROWS: usize = 8_192;
 
 /// Maximum number of rows in one answer. The lease for which an entry that starts is waiting arrives behind them.
-const ANSWER_ROWS: usize = 512;
+const MAX_ROWS_PER_ANSWER: usize = 512;
 
 /// A position in the log of cached parts. The log begins at 0.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -35,7 +35,7 @@
 pub struct KeptLog {
     rows: VecDeque<KeptPart>,
     /// Number of rows that have been dropped from the front, that is, the position of the first row.
-    forgotten: u64,
+    dropped: u64,
     known: HashMap<EndpointName, HashSet<PartId>>,
 }
 
@@ -46,15 +46,15 @@
             return;
         }
         self.rows.push_back(kept);
-        if self.rows.len() > MOST_ROWS
+        if self.rows.len() > MAX_ROWS
             && let Some(oldest) = self.rows.pop_front()
         {
-            self.forgotten += 1;
-            self.forget(&oldest);
+            self.dropped += 1;
+            self.remove_known(&oldest);
         }
     }
 
-    fn forget(&mut self, kept: &KeptPart) {
+    fn remove_known(&mut self, kept: &KeptPart) {
         if let Some(parts) = self.known.get_mut(&kept.engine) {
             parts.remove(&kept.part.id);
             if parts.is_empty() {
@@ -65,9 +65,9 @@
 
     /// Returns the rows from `place` on, at most as many as fit into one answer, and the position after them.
     pub fn since(&self, place: LogPlace) -> (impl Iterator<Item = &KeptPart>, LogPlace) {
-        let first = place.0.max(self.forgotten);
-        let skipped = usize::try_from(first - self.forgotten).unwrap_or(usize::MAX);
-        let rows = self.rows.iter().skip(skipped).take(ANSWER_ROWS);
+        let first = place.0.max(self.dropped);
+        let skipped = usize::try_from(first - self.dropped).unwrap_or(usize::MAX);
+        let rows = self.rows.iter().skip(skipped).take(MAX_ROWS_PER_ANSWER);
         let next = LogPlace(first + rows.len() as u64);
         (rows, next)
     }
@@ -75,18 +75,18 @@
 
 /// Announcements that one entry has yet to send.
 #[derive(Clone, Debug, Default)]
-pub struct KeptNews {
-    told: HashMap<EndpointName, HashSet<PartId>>,
-    waiting: Vec<KeptPart>,
+pub struct CachedPartOutbox {
+    announced: HashMap<EndpointName, HashSet<PartId>>,
+    pending: Vec<KeptPart>,
 }
 
-impl KeptNews {
+impl CachedPartOutbox {
     /// Queues announcements that an engine has cached these parts, except for those that are already known.
     pub fn record_prefill(&mut self, engine: &EndpointName, parts: &[PromptPart]) {
-        let told = self.told.entry(engine.clone()).or_default();
+        let announced = self.announced.entry(engine.clone()).or_default();
         for part in parts {
-            if told.insert(part.id) {
-                self.waiting.push(KeptPart {
+            if announced.insert(part.id) {
+                self.pending.push(KeptPart {
                     engine: engine.clone(),
                     part: *part,
                 });
@@ -95,17 +95,20 @@
     }
 
     /// Records an announcement of another entry, so that this entry does not repeat it.
-    pub fn hear(&mut self, kept: &KeptPart) {
-        self.told.entry(kept.engine.clone()).or_default().insert(kept.part.id);
+    pub fn record_announced(&mut self, kept: &KeptPart) {
+        self.announced
+            .entry(kept.engine.clone())
+            .or_default()
+            .insert(kept.part.id);
     }
 
     /// Returns the queued announcements and empties the queue.
-    pub fn take(&mut self) -> Vec<KeptPart> {
-        std::mem::take(&mut self.waiting)
+    pub fn take_pending(&mut self) -> Vec<KeptPart> {
+        std::mem::take(&mut self.pending)
     }
 
     /// Drops the records of engines that are no longer known.
     pub fn retain(&mut self, is_known: impl Fn(&EndpointName) -> bool) {
-        self.told.retain(|engine, _| is_known(engine));
+        self.announced.retain(|engine, _| is_known(engine));
     }
 }
--- a/crates/acaciabay/tests/serving/keeping.rs
+++ b/crates/acaciabay/tests/serving/keeping.rs
@@ -1,6 +1,6 @@
 //! Tests of the announcements by which entries share what engines have cached.
 
-use acaciabay::core::serving::kept_parts::{KeptLog, KeptNews, KeptPart, LogPlace};
+use acaciabay::core::serving::kept_parts::{CachedPartOutbox, KeptLog, KeptPart, LogPlace};
 
 use crate::fixtures::{name, part};
 
@@ -36,13 +36,13 @@
 
     assert_eq!(read_all(&log), vec![kept("e1", 5), kept("e2", 5)]);
 
-    let mut news = KeptNews::default();
-    news.hear(&kept("e1", 5));
+    let mut news = CachedPartOutbox::default();
+    news.record_announced(&kept("e1", 5));
     news.record_prefill(&name("e1"), &[part(5, 100), part(6, 100)]);
     news.record_prefill(&name("e1"), &[part(6, 100)]);
 
-    assert_eq!(news.take(), vec![kept("e1", 6)]);
-    assert_eq!(news.take(), Vec::new());
+    assert_eq!(news.take_pending(), vec![kept("e1", 6)]);
+    assert_eq!(news.take_pending(), Vec::new());
 }
 
 /// An entry that starts late gets the whole log, in several answers of limited size, so that none of them delays its
