--- a/crates/acaciabay/src/ops/place_request.rs
+++ b/crates/acaciabay/src/ops/place_request.rs
@@ -67,9 +67,9 @@
         return None;
     }
     if !request.prefix.is_empty() {
-        let favourite = favourite_of(request.prefix, &candidates)?;
-        if within_bound(favourite, &candidates, sends, request.pieces) {
-            return Some(favourite);
+        let preferred = highest_ranked(request.prefix, &candidates)?;
+        if is_within_affinity_bound(preferred, &candidates, sends, request.pieces) {
+            return Some(preferred);
         }
     }
     let first = candidates[random.random_range(0..candidates.len())];
@@ -92,11 +92,11 @@
         .rows()
         .filter(|(name, row)| is_candidate(now, name, row, request))
         .collect();
-    let place = usize::try_from(turn).unwrap_or(0).checked_rem(candidates.len())?;
-    candidates.get(place).copied()
+    let index = usize::try_from(turn).unwrap_or(0).checked_rem(candidates.len())?;
+    candidates.get(index).copied()
 }
 
-fn favourite_of<'table>(
+fn highest_ranked<'table>(
     prefix: &[u8],
     candidates: &[(&'table EndpointName, &'table EndpointRow)],
 ) -> Option<(&'table EndpointName, &'table EndpointRow)> {
@@ -109,11 +109,11 @@
 fn is_candidate(now: BootTime, name: &EndpointName, row: &EndpointRow, request: PlacementRequest<'_>) -> bool {
     request.pool.contains(name)
         && row.takes_work(now)
-        && does_work(&row.work, request.target)
+        && serves_target(&row.work, request.target)
         && !request.tried.contains(name)
 }
 
-fn does_work(work: &EndpointWork, target: &RouteTarget) -> bool {
+fn serves_target(work: &EndpointWork, target: &RouteTarget) -> bool {
     match (work, target) {
         (EndpointWork::Models(models), RouteTarget::Model(model)) => models.contains(model),
         (EndpointWork::Service(own), RouteTarget::Service(service)) => own == service,
@@ -121,16 +121,16 @@
     }
 }
 
-fn within_bound(
-    favourite: (&EndpointName, &EndpointRow),
+fn is_within_affinity_bound(
+    preferred: (&EndpointName, &EndpointRow),
     candidates: &[(&EndpointName, &EndpointRow)],
     sends: &OwnSends,
     pieces: u32,
 ) -> bool {
     let total: f64 = candidates.iter().map(|candidate| load(*candidate, sends)).sum();
     let mean = total / candidates.len() as f64;
-    let own = f64::from(pieces) / f64::from(favourite.1.pieces.max(1));
-    load(favourite, sends) <= mean * AFFINITY_LOAD_BOUND + own
+    let own = f64::from(pieces) / f64::from(preferred.1.pieces.max(1));
+    load(preferred, sends) <= mean * AFFINITY_LOAD_BOUND + own
 }
 
 fn has_room((name, row): (&EndpointName, &EndpointRow), sends: &OwnSends, pieces: u32) -> bool {
