--- a/crates/acacia-control/src/serving/codec.rs
+++ b/crates/acacia-control/src/serving/codec.rs
@@ -1,4 +1,4 @@
-//! What the outside of a control process looks like, as traits that an adapter implements.
+//! Interfaces between a control process and the outside: the traits that an adapter implements to translate HTTP calls.
 
 use std::fmt;
 
@@ -13,121 +13,123 @@
 
 use acacia_http::ResponseBody;
 
-/// A call of an operator or an endpoint.
+/// A call from an operator or an endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ControlCall {
-    /// An operator puts a configuration in force.
+    /// An operator submits a configuration.
     PutConfig,
     /// An operator reads the configuration in force.
     ReadConfig,
-    /// An endpoint reports.
+    /// An endpoint reports its state.
     Report {
-        /// The endpoint.
+        /// The name of the endpoint.
         name: EndpointName,
-        /// What it says of itself.
+        /// Its state.
         endpoint: ServingEndpoint,
     },
-    /// An endpoint leaves.
+    /// An endpoint deregisters.
     Leave {
-        /// The endpoint.
+        /// The name of the endpoint.
         name: EndpointName,
-        /// Which start of it, if it says so.
+        /// The incarnation that leaves, if the call names one.
         birth: Option<EndpointBirth>,
     },
-    /// A report that cannot be used; it concerns no endpoint.
+    /// A report or a deregistration that cannot be parsed, with the reason. It changes no endpoint.
     BadReport(String),
-    /// No such call.
+    /// A call with an unknown method or path.
     Unknown,
 }
 
-/// How a call is answered.
+/// The answer to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ControlAnswer {
-    /// It was done.
+    /// The call succeeded.
     Done,
-    /// The configuration in force, as it was sent.
+    /// The configuration in force, as the operator sent it.
     Document(Bytes),
-    /// It cannot be done at all.
+    /// The call is invalid, for this reason.
     Invalid(String),
-    /// There is nothing of this kind.
+    /// There is no such call.
     NotFound,
-    /// Another replica has to be asked, at this address.
+    /// The leader has to be asked, at this address.
     Elsewhere(std::net::SocketAddr),
-    /// It cannot be done now.
+    /// This replica cannot carry out the call now, for this reason.
     Unavailable(&'static str),
 }
 
-/// Translates calls of operators and endpoints.
+/// Translation of the calls from operators and endpoints, and of their answers.
 pub trait ControlCodec: fmt::Debug + Send + Sync + 'static {
-    /// Reads a call.
+    /// Parses a call.
     fn read_call(&self, parts: &Parts, body: &[u8]) -> ControlCall;
-    /// Writes an answer to a call that came to this path.
+    /// Builds the response to a call that was sent to `path`.
     fn write_answer(&self, path: &str, answer: ControlAnswer) -> Response<ResponseBody>;
-    /// Reads a configuration.
+    /// Parses a configuration document.
     ///
     /// # Errors
     ///
-    /// Fails with everything that keeps it from being read.
+    /// Returns all findings that prevent the document from being parsed.
     fn read_config(&self, document: &[u8]) -> Result<ServingConfig, Vec<ConfigFinding>>;
 }
 
-/// Who acts, for those who check it.
+/// The duty holder and its fencing number. Usage reports and orders carry both, so that the receiver can reject those
+/// of an earlier holder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DutyStamp {
-    /// The host that acts.
+    /// The host that holds the duties.
     pub holder: String,
-    /// Its number.
+    /// Its fencing number.
     pub fence: FenceNumber,
 }
 
 /// A call to the platform or to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutboundCall {
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
-    /// The path.
+    /// The path of the request target.
     pub path: String,
-    /// Headers beside those that every call has.
+    /// Headers in addition to those that every call has.
     pub headers: Vec<(&'static str, String)>,
-    /// The body, in JSON.
+    /// The body as JSON, or empty.
     pub body: Bytes,
 }
 
-/// What an engine says of itself when it is asked.
+/// The state that an engine reports on request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineReport {
-    /// How many orders it has accepted since it started.
+    /// Number of orders that it has accepted since it started.
     pub accepted_orders: u64,
-    /// Whether it is carrying one out.
+    /// True while it is carrying out an order.
     pub busy: bool,
-    /// What it does with prompts.
+    /// The stage of inference that it runs.
     pub stage: Option<EngineStage>,
 }
 
-/// How many endpoints of one kind there are to be.
+/// An order to the platform that sets the number of endpoints of one kind in one failure domain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PoolOrder {
-    /// The service.
+    /// The service that the endpoints belong to.
     pub service: ServiceName,
     /// The failure domain.
     pub domain: DomainName,
-    /// How many.
+    /// The total number of endpoints of this kind that the platform should provide.
     pub desired: u32,
-    /// Whether the order is for those that the platform may take away.
+    /// True for endpoints that the platform may reclaim, false for on-demand ones.
     pub reclaimable: bool,
 }
 
-/// Translates calls to the platform and to engines.
+/// Translation of the calls to the platform and to engines, and of their answers.
 pub trait PlatformCodec: fmt::Debug + Send + Sync + 'static {
-    /// Reports the calls that began in a window.
+    /// Builds the call that reports the usage of a window: the number of calls that each customer began in it.
     fn usage_call(&self, stamp: &DutyStamp, window: WindowNumber, counts: &CustomerCounts) -> OutboundCall;
-    /// Orders endpoints of one kind in one failure domain.
+    /// Builds the call that orders endpoints of one kind in one failure domain.
     fn pool_call(&self, stamp: &DutyStamp, order: &PoolOrder) -> OutboundCall;
-    /// Asks an engine for a report of itself.
+    /// Builds the call that asks an engine for its state.
     fn report_call(&self) -> OutboundCall;
-    /// Reads that report.
+    /// Parses the answer to [`report_call`](Self::report_call), or returns `None` if it is malformed.
     fn read_report(&self, body: &[u8]) -> Option<EngineReport>;
-    /// Orders an engine to change its stage, provided that it has accepted that many orders before.
+    /// Builds the call that orders an engine to change its stage. The engine carries it out only if it has accepted
+    /// `expected` orders before.
     fn stage_call(&self, stamp: &DutyStamp, endpoint: &EndpointName, stage: EngineStage, expected: u64)
     -> OutboundCall;
 }
