--- a/crates/acacia-control/src/serving/mod.rs
+++ b/crates/acacia-control/src/serving/mod.rs
@@ -1,14 +1,15 @@
-//! The control process for calls by host and path: replicated configuration and duties, endpoints that report by
-//! themselves, and sessions with the entries.
+//! The control process of deployments that route calls by host and path. It replicates the configuration, keeps the
+//! registry of endpoints from their own reports, and serves sessions with the entries.
 //!
-//! * `founding` finds or founds the group, `peers` takes connections of entries and replicas.
-//! * `hub` is what the tasks share; `session` serves one entry or replica, `renewals` answers
-//!   entries out of `config_cache`, `observer` listens to the other replicas.
+//! * `founding` creates the group or obtains a place in it; `peers` accepts connections from entries and replicas.
+//! * `hub` holds the state that the tasks share. `session` serves one entry or replica, `renewals` answers the lease
+//!   renewals of entries with configurations from `config_cache`, and `observer` receives the endpoint reports that
+//!   other replicas got.
 //! * `control_http` answers operators and endpoints through a [`ControlCodec`].
-//! * `duties` does what one process at a time may do, through a [`PlatformCodec`]: `usage_windows`, `stage_orders`
-//!   with `engine_orders`, `pool_orders`.
+//! * `duties` runs the work that only one process at a time may do, through a [`PlatformCodec`]: `usage_windows`,
+//!   `pool_orders`, and `stage_orders` with `engine_orders`.
 //!
-//! What calls look like is said by the two codecs alone. `docs/design/machines.md` has the whole picture.
+//! Only the two codecs know the format of the HTTP calls. The design is described in `docs/design/machines.md`.
 
 mod codec;
 mod config_cache;
