--- a/crates/acacia-control/src/serving/config_cache.rs
+++ b/crates/acacia-control/src/serving/config_cache.rs
@@ -1,4 +1,4 @@
-//! The configurations that this process has seen lately, and what turns one into another.
+//! Cache of recent configurations and of the deltas between them.
 
 use std::collections::VecDeque;
 
@@ -6,10 +6,10 @@
 use acaciabay::core::serving::config_transfer::{ConfigDocument, RecentConfigs};
 use acaciabay::util::byte_delta::ByteDelta;
 
-/// How many deltas between configurations are kept: entries are behind by one change, a few of them by more.
+/// Maximum number of cached deltas. Most entries are one change behind, and a few of them more.
 const KNOWN_DELTAS: usize = 8;
 
-/// What turns one configuration into a later one.
+/// The delta from one configuration to a later one.
 #[derive(Debug)]
 struct KnownDelta {
     base: ConfigNumber,
@@ -17,7 +17,7 @@
     delta: ByteDelta,
 }
 
-/// What all sessions need to bring their entries up to date.
+/// Configurations and deltas with which all sessions update their entries.
 #[derive(Debug, Default)]
 pub(super) struct ConfigCache {
     pub(super) recent: RecentConfigs,
@@ -25,7 +25,7 @@
 }
 
 impl ConfigCache {
-    /// Returns what turns one configuration into another. All entries need the same deltas, so each is made once.
+    /// Returns the delta from `base` to `target`. All sessions need the same deltas, so each is computed only once.
     pub(super) fn delta_between(&mut self, base: &ConfigDocument, target: &ConfigDocument) -> ByteDelta {
         let wanted = (base.number, target.number);
         let known = self.deltas.iter().find(|known| (known.base, known.target) == wanted);
