--- a/crates/acacia-control/src/serving/hub.rs
+++ b/crates/acacia-control/src/serving/hub.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a control process share.
+//! State that the tasks of a control process share.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -28,58 +28,58 @@
 use super::config_cache::ConfigCache;
 use crate::group::GroupHandle;
 
-/// How many pieces of news a session may be behind before it starts over with all endpoints.
+/// Maximum number of updates that a session may lag behind. Beyond it, the session sends all endpoints again.
 const WAITING_NEWS: usize = 1_024;
-/// How long after the start of a process the endpoints that it knows are taken for all: they report about once a
-/// second, the first time up to two seconds after a group has begun to answer.
+/// Time after the start of the process until its registry counts as complete. Endpoints report about once a second, and
+/// send their first report up to two seconds after the group has begun to answer.
 const SETTLING_TIME: Duration = Duration::from_millis(3_800);
-/// After which silence an entry no longer counts as serving; its lease has ended long before.
+/// Time without a renewal after which an entry no longer counts as serving. Its lease has ended long before.
 const ENTRY_SILENCE: Duration = Duration::from_secs(10);
 
-/// What an entry has said last.
+/// The state that an entry sent with its last renewal.
 #[derive(Clone, Debug)]
 pub(super) struct EntryPresence {
     pub(super) heard_at: BootTime,
     pub(super) domain: DomainName,
     pub(super) uses: Vec<(EndpointName, EndpointWork)>,
-    /// The endpoints that it has found silent.
+    /// Endpoints that the entry has found silent.
     pub(super) silent: Vec<EndpointName>,
-    /// How many milliseconds engines take for a token of a prompt, as the entry measures it.
+    /// Prefill time per token in milliseconds, as measured by the entry.
     pub(super) paces: BTreeMap<ServiceName, f64>,
 }
 
-/// What callers asked of a service, over all entries.
+/// Demand for a service over all entries since it was last read.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct ServiceTraffic {
     pub(super) calls: u64,
     pub(super) unread_tokens: u64,
     pub(super) output_tokens: u64,
-    /// The longest wait before a prompt is read that an entry has expected since the last look.
+    /// Longest wait for prefill that an entry has expected, in microseconds.
     pub(super) wait_us: u64,
 }
 
-/// What is learned anew after each start.
+/// Soft state: it is not replicated, and is rebuilt from reports after each start.
 #[derive(Debug, Default)]
 pub(super) struct ServingSoft {
     pub(super) registry: EndpointRegistry,
     pub(super) entries: BTreeMap<HostName, EntryPresence>,
-    /// What entries have counted and is not committed yet.
+    /// Counts of started calls that entries have reported and that are not committed yet.
     pub(super) starts: Vec<GatheredRow>,
     pub(super) traffic: BTreeMap<ServiceName, ServiceTraffic>,
-    /// Which engines keep which parts, as entries have told this process.
+    /// Prompt parts that engines have cached, as announced by entries.
     pub(super) kept: KeptLog,
     config: Option<Arc<ServingConfig>>,
 }
 
 impl ServingSoft {
-    /// Returns how many entries serve.
+    /// Forgets entries that have been silent for too long, and returns the number of the others.
     pub(super) fn live_entries(&mut self, now: BootTime) -> usize {
         self.entries.retain(|_, row| now.since(row.heard_at) < ENTRY_SILENCE);
         self.entries.len()
     }
 
-    /// Returns how many milliseconds the engines of a service take for a token of a prompt: the median over the entries; 0
-    /// while none has measured it.
+    /// Returns the prefill time per token of a service in milliseconds: the median over the entries, or 0 before the
+    /// first measurement.
     pub(super) fn pace_ms(&self, service: &ServiceName) -> f64 {
         let known = self.entries.values().filter_map(|row| row.paces.get(service));
         let mut paces: Vec<f64> = known.copied().collect();
@@ -87,25 +87,25 @@
         paces.get(paces.len() / 2).copied().unwrap_or(0.0)
     }
 
-    /// Returns for how long the entry that was heard least lately has not reported.
+    /// Returns the time since the last renewal of the entry that has been silent longest.
     pub(super) fn longest_silence(&mut self, now: BootTime) -> Duration {
         self.live_entries(now);
         let silences = self.entries.values().map(|row| now.since(row.heard_at));
         silences.max().unwrap_or_default()
     }
 
-    /// Tells whether any entry has a call at an endpoint.
+    /// Returns true if any entry has a running call at an endpoint.
     pub(super) fn has_calls(&self) -> bool {
         self.entries.values().any(|row| !row.uses.is_empty())
     }
 
-    /// Returns the endpoints that all entries are to leave out.
+    /// Returns the endpoints that all entries should avoid.
     pub(super) fn silent_endpoints(&self) -> BTreeSet<&EndpointName> {
         let rows = self.entries.values();
         shared_suspicions(rows.flat_map(|row| row.silent.iter().map(|endpoint| (&row.domain, endpoint))))
     }
 
-    /// Returns what all entries but one have at the endpoints.
+    /// Returns the work that entries have at each endpoint, summed over all entries except `host`.
     pub(super) fn uses_beside(&self, host: Option<&HostName>) -> BTreeMap<EndpointName, EndpointWork> {
         let mut sums: BTreeMap<EndpointName, EndpointWork> = BTreeMap::new();
         for (_, row) in self.entries.iter().filter(|(name, _)| Some(*name) != host) {
@@ -118,7 +118,7 @@
     }
 }
 
-/// What the tasks share.
+/// State that the tasks share.
 #[derive(Debug)]
 pub(super) struct ServingHub {
     pub(super) settings: ServingControlSettings,
@@ -153,8 +153,8 @@
         }
     }
 
-    /// Tells whether every endpoint has had the time to report since this process started: by the few that are known
-    /// first, the wrong ones would be ordered.
+    /// Returns true once every endpoint has had time to report since this process started. Orders that are based on an
+    /// incomplete registry would be wrong.
     pub(super) fn knows_endpoints(&self, now: BootTime) -> bool {
         now.since(self.started_at) >= SETTLING_TIME
     }
@@ -163,31 +163,31 @@
         self.soft.lock()
     }
 
-    /// Follows what endpoints say to this process.
+    /// Subscribes to the updates that are broadcast to all sessions.
     pub(super) fn news(&self) -> broadcast::Receiver<Arc<Body>> {
         self.news.subscribe()
     }
 
-    /// Takes what an endpoint has said to this process, and passes it on.
+    /// Records a report that an endpoint sent to this process, and broadcasts it to all sessions unless it is stale.
     pub(super) fn take_report(&self, name: &EndpointName, endpoint: ServingEndpoint) -> ReportEffect {
         let effect = self.soft().registry.report(boot_now(), name, endpoint);
         self.pass_on(name, effect);
         effect
     }
 
-    /// Tells whether this process has heard of an endpoint.
+    /// Returns true if the registry has the endpoint.
     pub(super) fn knows(&self, name: &EndpointName) -> bool {
         self.soft().registry.get(name).is_some()
     }
 
-    /// Notes that an endpoint has told this process that it leaves, and passes that on.
+    /// Records that an endpoint has deregistered at this process, and broadcasts it to all sessions unless it is stale.
     pub(super) fn take_leave(&self, name: &EndpointName, birth: Option<EndpointBirth>) -> ReportEffect {
         let effect = self.soft().registry.leave(name, birth);
         self.pass_on(name, effect);
         effect
     }
 
-    /// Takes what an endpoint has said to another replica.
+    /// Records a report that an endpoint sent to another replica. That replica broadcasts it.
     pub(super) fn hear_report(&self, name: &EndpointName, endpoint: ServingEndpoint) {
         self.soft().registry.hear(boot_now(), name, endpoint);
     }
@@ -208,7 +208,7 @@
             }
         }
         let rows = vec![endpoint_to_wire(name, endpoint)];
-        // Without a session there is nobody to tell; whoever connects gets all endpoints.
+        // Sending fails if there is no session. A session that begins later starts with all endpoints.
         let _nobody = self.news.send(Arc::new(Body::News(EndpointNews { rows })));
     }
 
@@ -218,7 +218,7 @@
         let _nobody = self.news.send(Arc::new(Body::Resting(RestingEngines { engines })));
     }
 
-    /// Returns all endpoints, for a session that begins.
+    /// Returns all endpoints, for the beginning of a session.
     pub(super) fn all_endpoints(&self) -> EndpointNews {
         let soft = self.soft();
         let rows = soft
@@ -228,7 +228,8 @@
         EndpointNews { rows: rows.collect() }
     }
 
-    /// Returns the configuration in force, read once for each number.
+    /// Returns the configuration in force, or `None` if there is none or it cannot be parsed. A configuration that was
+    /// parsed once is not parsed again.
     pub(super) fn config(&self) -> Option<Arc<ServingConfig>> {
         let ConfigDocument { number, document } = self.newest_config();
         if number == ConfigNumber(0) {
@@ -245,14 +246,14 @@
                 Some(config)
             }
             Err(findings) => {
-                slog::error!(self.log, "configuration in force cannot be read"; "event" => event::CONFIG_UNREADABLE,
+                slog::error!(self.log, "configuration in force cannot be parsed"; "event" => event::CONFIG_UNREADABLE,
                     "number" => number.0, "findings" => ?findings);
                 None
             }
         }
     }
 
-    /// Returns the configuration that this process knows as the newest.
+    /// Returns the newest configuration that this replica has applied.
     pub(super) fn newest_config(&self) -> ConfigDocument {
         let state = self.group.read();
         ConfigDocument {
@@ -265,7 +266,7 @@
         self.configs.lock()
     }
 
-    /// Keeps the configurations that come into force, until the process ends.
+    /// Adds each configuration that comes into force to the cache, until the process ends.
     pub(super) async fn keep_recent_configs(&self) {
         let mut numbers = self.group.serving_numbers();
         numbers.mark_changed();
@@ -276,7 +277,8 @@
         }
     }
 
-    /// Returns the control address of the leader, which has the same ports as this process.
+    /// Returns the control address of the leader, or `None` if no leader is known or this replica leads. The port is
+    /// that of this process, since all hosts use the same ports.
     pub(super) fn leader_control_address(&self) -> Option<SocketAddr> {
         let status = self.group.status();
         let status = status.borrow();
