--- a/crates/acacia-control/src/serving/session.rs
+++ b/crates/acacia-control/src/serving/session.rs
@@ -1,4 +1,4 @@
-//! A session with an entry, or with a replica that listens.
+//! A session with an entry or with another replica. It sends updates and, to entries, the answers to their renewals.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,9 +19,9 @@
 use super::hub::ServingHub;
 use super::renewals::{SentNews, answer_renewal};
 
-/// How often something is sent where nothing is new, so that the other side notices a silent connection.
+/// Interval of keepalive messages. If none arrives, the other side knows that the connection is dead.
 pub(super) const ALIVE_INTERVAL: Duration = Duration::from_millis(500);
-/// How many frames may wait to be written to one connection.
+/// Maximum number of frames that are queued for one connection.
 const WAITING_FRAMES: usize = 256;
 
 /// Serves one session until its connection ends.
@@ -65,11 +65,11 @@
     Ok(())
 }
 
-/// A frame that waits to be written.
+/// A frame in the queue of a connection.
 #[derive(Debug)]
 struct WaitingFrame {
     body: Body,
-    /// The number of the configuration that it carries, and since when it waits.
+    /// Number of the configuration that the frame carries, if any, and the time at which it was queued.
     carried: Option<(u64, BootTime)>,
 }
 
@@ -129,7 +129,8 @@
     Frame::Serving(ServingFrame { body: Some(body) })
 }
 
-/// Sends what is new until the session ends: endpoints, replicas, the number of the configuration.
+/// Sends all endpoints, and then every change until the session ends: endpoints, replica addresses, leadership of this
+/// replica, and the number of the configuration.
 async fn send_news(hub: &Arc<ServingHub>, frames: mpsc::Sender<WaitingFrame>) {
     let mut news = hub.news();
     let mut numbers = hub.group.serving_numbers();
