--- a/crates/acacia-control/src/serving/usage_windows.rs
+++ b/crates/acacia-control/src/serving/usage_windows.rs
@@ -1,4 +1,5 @@
-//! Usage windows: fixed in the log before they are first reported, so that every copy says the same.
+//! Delivery of usage windows to the platform. A window is sealed in the replicated log before it is first sent, so that
+//! every repetition has the same counts.
 
 use std::time::Duration;
 
@@ -16,9 +17,10 @@
 use super::duties::{DutyTurn, OwnedTurn};
 use super::hub::ServingHub;
 
-/// How long to wait before a window is sent again.
+/// Minimum time from the start of one attempt to send a window to the next attempt.
 const RESEND_PAUSE: Duration = Duration::from_millis(500);
-/// The windows of one holder.
+
+/// Usage windows as delivered by one duty holder.
 #[derive(Debug, Default)]
 pub(super) struct UsageWindows {
     sending: Option<oneshot::Receiver<()>>,
@@ -26,7 +28,7 @@
 }
 
 impl UsageWindows {
-    /// Fixes the windows that have ended and sends the oldest one that was not taken.
+    /// Commits new counts, seals the windows that are due, and sends the oldest one that the platform has not accepted.
     pub(super) async fn tick(&mut self, turn: &DutyTurn<'_>) {
         gather(turn.hub).await;
         seal_ended(turn.hub).await;
@@ -58,7 +60,7 @@
         let turn = turn.for_task();
         tokio::spawn(async move {
             send(&turn, window, &counts).await;
-            // The next tick takes a dropped sender for the end as well.
+            // If the sender is dropped instead, the next tick also treats the attempt as ended.
             let _ended = done.send(());
         });
     }
@@ -73,15 +75,15 @@
     state.serving.sealed.get(&window).map(|counts| counts.values().sum())
 }
 
-/// Commits what entries have counted since the last look. Were it kept in memory until the window ends, all processes
-/// killed at once would take up to a whole window with them, and those calls would never be billed.
+/// Commits the counts that entries have reported since the previous tick. If they were only in memory until the window
+/// ends, killing all processes at once would lose up to a whole window, and its calls would never be billed.
 async fn gather(hub: &ServingHub) {
     let rows = std::mem::take(&mut hub.soft().starts);
     if rows.is_empty() {
         return;
     }
     let command = ServingCommand::GatherStarts { rows };
-    // Entries repeat their counts to the next leader.
+    // If this replica no longer leads, entries report their counts again to the next leader.
     let _not_leading = hub.group.propose(ControlCommand::Serving(command)).await;
 }
 
@@ -111,18 +113,18 @@
     let call = hub.platform.usage_call(stamp, window, counts);
     match client.send(address, call).await {
         Ok((status, _)) if status.is_success() => {
-            slog::info!(hub.log, "usage window taken"; "event" => event::WINDOW_BILLED,
+            slog::info!(hub.log, "usage window accepted"; "event" => event::WINDOW_BILLED,
                 "window" => window.0, "fence" => stamp.fence.0);
             let command = ServingCommand::SettleStarts { window };
-            // If leadership is lost meanwhile, the next leader sends the same counts again.
+            // If this replica no longer leads, the next leader sends the same counts again.
             let _not_leading = hub.group.propose(ControlCommand::Serving(command)).await;
         }
         Ok((StatusCode::CONFLICT, _)) => {
-            slog::warn!(hub.log, "usage window refused: a higher number was used"; "event" => event::WINDOW_DELAYED,
-                "window" => window.0, "fence" => stamp.fence.0);
+            slog::warn!(hub.log, "usage window refused: the platform has seen a higher fencing number";
+                "event" => event::WINDOW_DELAYED, "window" => window.0, "fence" => stamp.fence.0);
         }
         other => {
-            slog::warn!(hub.log, "usage window delayed"; "event" => event::WINDOW_DELAYED,
+            slog::warn!(hub.log, "usage window could not be delivered"; "event" => event::WINDOW_DELAYED,
                 "window" => window.0, "fence" => stamp.fence.0, "reason" => ?other.map(|(status, _)| status),
                 "now" => %boot_now());
         }
