--- a/crates/acacia-control/src/serving/founding.rs
+++ b/crates/acacia-control/src/serving/founding.rs
@@ -1,9 +1,9 @@
-//! How a host finds its place in the group, or founds it together with the other seeds.
+//! Creation of the group by the seed hosts, and admission of all other hosts.
 //!
-//! At the first start of the whole system all hosts are told the same seeds, and nobody is told how many hosts there
-//! are. The hosts that are seeds found the group: each of them writes the same first members, without a message. All
-//! others ask the seeds for a place. A host with an empty folder that starts later is never a founder: it would found a
-//! second group with an empty configuration, and what was accepted would seem to be lost.
+//! At the first start of a deployment, all hosts get the same list of seeds, but not the number of hosts. The seeds
+//! create the group without exchanging messages: each writes the same initial members to its own folder. All other
+//! hosts ask the seeds to be admitted. A host that starts later with an empty folder must not create a group: it would
+//! be a second group with an empty configuration, and everything accepted so far would seem to be lost.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,25 +22,26 @@
 use crate::daemon::random_number;
 use crate::storage::{DataFolder, FolderIdentity};
 
-/// How often the group is asked for a place.
+/// Pause between two rounds of requests to be admitted.
 const ASK_INTERVAL: Duration = Duration::from_millis(100);
-/// How long one replica may take to answer.
+/// Time limit for the answer of one replica.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
-/// After how many rounds of asking the reason is logged again.
+/// Number of rounds of requests between two log messages.
 const LOG_EVERY: u32 = 50;
-/// Folders that are drawn at random have larger numbers than the founders' folders, which are numbered from 1.
+/// Smallest random disk number. The disks of the seeds that create the group are numbered from 1, below this.
 const FIRST_DRAWN_DISK: u64 = 1 << 16;
 
-/// The control addresses through which the group is found; they change while the process runs.
+/// Control addresses of the seeds, which may change while the process runs.
 pub(super) type SeedList = watch::Receiver<Vec<SocketAddr>>;
 
-/// Returns the peer addresses behind control addresses; all hosts have the same ports.
+/// Returns the peer addresses of the hosts with these control addresses. All hosts use the same ports.
 fn peer_addresses(settings: &ServingControlSettings, seeds: &[SocketAddr]) -> Vec<SocketAddr> {
     let port = settings.peer_address.port();
     seeds.iter().map(|seed| SocketAddr::new(seed.ip(), port)).collect()
 }
 
-/// Returns whom the folder belongs to. A founder's folder is filled; any other empty one draws its number.
+/// Returns the identity stored in the folder. An empty folder is first initialised: on a seed that creates the group,
+/// with the initial members, and on any other host with a random disk number and no replica.
 pub(super) fn open_identity(
     folder: &mut DataFolder,
     settings: &ServingControlSettings,
@@ -92,7 +93,7 @@
     Ok(identity)
 }
 
-/// Asks for a place until there is one.
+/// Asks to be admitted until a replica grants it, and returns the group and the new replica.
 pub(super) async fn await_place(
     settings: &ServingControlSettings,
     seeds: &SeedList,
@@ -116,9 +117,9 @@
     unreachable!("the rounds have no end")
 }
 
-/// Tells whether the group says that this replica was removed; unknown where no leader can be reached.
+/// Returns true if the group answers that this replica was removed, and false also if no leader can be reached.
 ///
-/// The `members` that the replica knew are asked beside the seeds, which may have been exchanged or be down.
+/// Besides the seeds, which may have been replaced or be down, it asks the `members` that the replica knew.
 pub(super) async fn was_removed(
     settings: &ServingControlSettings,
     seeds: &SeedList,
@@ -132,7 +133,8 @@
     reply.is_some_and(|reply| reply.removed)
 }
 
-/// Asks replicas, and the leader that they name.
+/// Sends a join request to each peer, and to the leader that it names, until one names a replica or reports a removal.
+/// Otherwise returns the last reply, if there was any.
 async fn ask_all(
     settings: &ServingControlSettings,
     peers: Vec<SocketAddr>,
