--- a/crates/acacia-control/src/serving/peers.rs
+++ b/crates/acacia-control/src/serving/peers.rs
@@ -1,4 +1,4 @@
-//! The listener for entries, other replicas, and hosts that ask for a place in the group.
+//! Listener for connections from entries, other replicas, and hosts that ask to be admitted to the group.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,14 +17,14 @@
 use crate::group::{JoinAnswer, JoinCall};
 use crate::peer_listener::serve_replica;
 
-/// How long to wait after the system refused to accept a connection.
+/// Delay before the next attempt after accepting a connection has failed.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// How long a peer may take to say who it is.
+/// Time limit for the first frame of a connection, which says what kind of peer it is.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long the kernel may go on trying to deliver to a peer.
+/// Time for which the kernel retries to deliver data to a peer (`TCP_USER_TIMEOUT`).
 const USER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Serves peers' connections until `stop` is cancelled.
+/// Accepts and serves connections from peers until `stop` is cancelled.
 pub(super) async fn serve_peers(listener: TcpListener, hub: Arc<ServingHub>, stop: CancellationToken) {
     loop {
         let accepted = tokio::select! {
