--- a/crates/acacia-control/src/serving/observer.rs
+++ b/crates/acacia-control/src/serving/observer.rs
@@ -1,7 +1,8 @@
-//! Listens to the other replicas for what endpoints tell them.
+//! Receives the endpoint reports that the other replicas got.
 //!
-//! An endpoint reports to whichever replica it picks. That replica tells all sessions; this one listens like an entry
-//! does, so that the leader knows all endpoints, and a replica can give a new session all of them at once.
+//! An endpoint may report to any replica, which broadcasts the report to all its sessions. Each replica therefore keeps
+//! a session with every other voter, as entries do. So the leader knows all endpoints, and every replica can send all
+//! of them to a new session at once.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,14 +20,14 @@
 use super::hub::ServingHub;
 use super::session::ALIVE_INTERVAL;
 
-/// How long the kernel may go on trying to deliver.
+/// Time for which the kernel retries to deliver data to a replica (`TCP_USER_TIMEOUT`).
 const USER_TIMEOUT: Duration = Duration::from_secs(2);
-/// After how long without a byte the connection counts as lost: three missed signs of life.
+/// Time without a received byte after which the connection counts as lost: three missed keepalives.
 const SILENCE: Duration = ALIVE_INTERVAL.saturating_mul(3);
-/// How long to wait before connecting again.
+/// Delay before a new connection attempt.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(200);
 
-/// Keeps a session with every other voter until `stop` is cancelled.
+/// Keeps a session open with every other voter until `stop` is cancelled.
 pub(super) async fn observe_replicas(hub: Arc<ServingHub>, stop: CancellationToken) {
     let mut status = hub.group.status();
     let mut sessions: BTreeMap<String, JoinHandle<()>> = BTreeMap::new();
@@ -63,7 +64,7 @@
 async fn keep_session(hub: Arc<ServingHub>, address: String) {
     loop {
         if let Err(error) = use_session(&hub, &address).await {
-            slog::debug!(hub.log, "replica cannot be heard"; "event" => event::CONNECTION_FAILED,
+            slog::debug!(hub.log, "session with a replica failed"; "event" => event::CONNECTION_FAILED,
                 "address" => &address, "error" => %error);
         }
         tokio::time::sleep(RECONNECT_PAUSE).await;
@@ -90,7 +91,7 @@
             match endpoint_from_wire(row) {
                 Ok((name, endpoint)) => hub.hear_report(&name, endpoint),
                 Err(error) => {
-                    slog::warn!(hub.log, "malformed news of an endpoint"; "event" => event::MESSAGE_REFUSED,
+                    slog::warn!(hub.log, "malformed endpoint report"; "event" => event::MESSAGE_REFUSED,
                         "from" => address, "error" => %error);
                 }
             }
