--- a/crates/acacia-control/src/serving/start.rs
+++ b/crates/acacia-control/src/serving/start.rs
@@ -1,4 +1,4 @@
-//! Starting a control process, and its end.
+//! Start and shutdown of a control process.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, mpsc};
@@ -32,16 +32,16 @@
 use crate::peer_links::PeerLinks;
 use crate::storage::{DataFolder, FolderIdentity, forget_replica};
 
-/// After how long without a leader a replica asks whether it still belongs to the group.
+/// Time without a leader after which a replica asks whether it still belongs to the group.
 const LONELY_TIME: Duration = Duration::from_secs(2);
-/// How often endpoints that were not heard of for long are forgotten.
+/// Interval at which endpoints that have not reported for a long time are removed from the registry.
 const TIDY_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Runs a control process until `stop` is cancelled.
 ///
 /// # Errors
 ///
-/// Fails when an address is taken, when the disk fails, or when the group has removed this replica.
+/// Fails if an address is in use, if the disk fails, or if the group has removed this replica.
 pub async fn start(
     settings: ServingControlSettings,
     codec: Arc<dyn ControlCodec>,
@@ -85,12 +85,13 @@
     tasks.close();
     tasks.wait().await;
     hub.group.input(GroupInput::Stop);
-    let ended = driving.await.context("the driving thread failed")?;
+    let ended = driving.await.context("the driver thread failed")?;
     slog::info!(log, "control stopped"; "event" => event::STOPPED);
     outcome.and(ended)
 }
 
-/// Waits for a place in the group where the folder has none; returns nothing when the process is to stop.
+/// Returns the identity of this replica, after waiting to be admitted to the group if the folder has none. Returns
+/// `None` if `stop` is cancelled first.
 async fn take_place(
     folder: &mut DataFolder,
     identity: FolderIdentity,
@@ -106,7 +107,7 @@
     let (group, replica) = tokio::select! {
         () = stop.cancelled() => return Ok(None),
         place = await_place(settings, seeds, identity.disk, log) => place,
-        // Whoever connects meanwhile learns at once that this process cannot help, and tries another.
+        // Peers and callers that connect in the meantime see at once that this process cannot serve, and try another.
         () = refuse_all(peers) => return Ok(None),
         () = refuse_all(control) => return Ok(None),
     };
@@ -115,7 +116,7 @@
         replica: Some(replica),
         ..identity
     };
-    // The log comes before the identity that vouches for it.
+    // The identity is stored last, since it marks the log as initialised.
     folder.initialise(HardState::default(), &ReplicaSnapshot::default())?;
     folder.store_identity(&identity)?;
     slog::info!(log, "identity granted"; "event" => event::IDENTITY_GRANTED, "replica" => replica.0);
@@ -161,11 +162,12 @@
     Ok((Arc::new(hub), driver))
 }
 
-/// The number of replicas that vote where there are so many hosts, even if fewer losses are to be borne: a whole failure
-/// domain may go with the two of its hosts.
+/// Minimum number of voters if there are enough hosts, even if fewer losses have to be tolerated: a failure domain may
+/// be lost together with its two hosts.
 const LEAST_VOTERS: usize = 5;
 
-/// An entry is on one disk more than may be lost, and enough replicas vote that a majority outlives the losses.
+/// Returns a policy that stores each log entry on one disk more than may be lost, and has enough voters that a majority
+/// survives the losses.
 const fn policy_for(tolerated_losses: usize) -> QuorumPolicy {
     let needed = 2 * tolerated_losses + 1;
     QuorumPolicy {
@@ -213,15 +215,15 @@
     }
 }
 
-/// Returns once the group says that this replica was removed.
+/// Returns once the group answers that this replica was removed.
 ///
-/// A replica that was frozen while another took its place hears of no leader any more and cannot know why. Without
-/// asking, its host would stay out of the group for good.
+/// A replica that was frozen while another one replaced it no longer hears from a leader and cannot know why. If it did
+/// not ask, its host would never return to the group.
 async fn watch_removal(hub: &ServingHub, seeds: &SeedList, identity: FolderIdentity) {
     let mut status = hub.group.status();
     loop {
         let lonely = async {
-            // An error means that the driver has ended, which ends the process by another way.
+            // An error means that the driver thread has ended. The process then stops for that reason.
             let _ended = status.wait_for(|status| status.leader.is_some()).await;
         };
         if tokio::time::timeout(LONELY_TIME, lonely).await.is_err()
@@ -241,9 +243,9 @@
     addresses.collect()
 }
 
-/// Empties the folder of a replica that the group has removed, so that the next start asks for a new place.
+/// Clears the data folder of a replica that the group has removed, so that the next start asks to be admitted again.
 fn forget_group(hub: &ServingHub) -> anyhow::Result<()> {
     slog::warn!(hub.log, "removed from the group"; "event" => event::IDENTITY_REVOKED);
     forget_replica(&hub.settings.data_folder, DiskId(random_number()?))?;
-    anyhow::bail!("the group has removed this replica; the next start asks for a new place")
+    anyhow::bail!("the group has removed this replica; the next start asks to be admitted as a new one")
 }
