--- a/crates/acacia-control/src/serving/pool_orders.rs
+++ b/crates/acacia-control/src/serving/pool_orders.rs
@@ -1,4 +1,4 @@
-//! Orders to the platform: how many endpoints of a service there are to be in each failure domain.
+//! Orders to the platform that set the number of a service's endpoints in each failure domain.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -21,15 +21,15 @@
 use super::hub::ServingHub;
 use super::stage_orders::StageOrders;
 
-/// How often the pools are looked at.
+/// Interval at which pools are planned.
 const PLAN_INTERVAL: Duration = Duration::from_millis(500);
-/// How long after endpoints were given back others may be: those that replace what made tokens among them need
-/// the time of a change of stage.
+/// Pause after a release of endpoints before the next one. If decode engines were released, the engines that replace
+/// them need this time to change their stage.
 const GIVE_BACK_PAUSE: Duration = Duration::from_secs(5);
 
 type OrderKey = (ServiceName, DomainName, bool);
 
-/// The orders of one holder.
+/// Planned needs and issued orders of one duty holder.
 #[derive(Debug, Default)]
 pub(super) struct PoolOrders {
     next_plan: BootTime,
@@ -39,7 +39,7 @@
 }
 
 impl PoolOrders {
-    /// Orders what the work needs.
+    /// Plans the pool of each service and issues the orders that it needs.
     pub(super) fn tick(&mut self, turn: &DutyTurn<'_>, stages: &mut StageOrders) {
         let now = turn.now;
         if now < self.next_plan {
@@ -72,7 +72,8 @@
         let (agreed, refused) = (self.agreed(service), self.refused(service));
         let has_calls = turn.hub.soft().has_calls();
         let need = self.needs.entry(service.clone()).or_default();
-        // What was ordered here meanwhile would be counted as what the operators have started with.
+        // Without this subtraction, reclaimable endpoints that this holder has ordered would count as started by the
+        // operators.
         let ordered: u32 = agreed
             .iter()
             .map(|(domain, agreed)| reclaimable_in(&present, domain).min(*agreed))
@@ -98,7 +99,7 @@
         let wanted = plan_pool(pool, &domains, view.needed);
         stages.expect(service, wanted.values().map(|pool| pool.total()).sum(), readers);
         if view.is_idle && wanted.iter().any(|(domain, want)| view.lasting(domain) > want.lasting) {
-            // Whichever engines the platform takes back now need no change of stage.
+            // Engines that the platform is about to remove need no change of stage.
             stages.hold(now);
         }
         slog::debug!(turn.hub.log, "pool planned"; "event" => event::POOL_PLANNED, "service" => service.as_str(),
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Notes which orders have had their effect.
+    /// Records the endpoints that are present in the issued orders, so that fulfilled orders are recognized.
     fn note_arrivals(&self, service: &ServiceName, present: &BTreeMap<DomainName, DomainPool>) {
         let mut given = self.given.lock();
         for ((_, domain, reclaimable), order) in given.iter_mut().filter(|((known, ..), _)| known == service) {
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Returns how many reclaimable endpoints the platform has agreed to, by failure domain.
+    /// Returns the number of reclaimable endpoints that the platform has agreed to provide, by failure domain.
     fn agreed(&self, service: &ServiceName) -> BTreeMap<DomainName, u32> {
         let given = self.given.lock();
         let own = given.iter().filter(|(key, _)| is_reclaimable_of(key, service));
@@ -137,7 +138,7 @@
             .collect()
     }
 
-    /// Returns the failure domains in which the platform has lately refused reclaimable endpoints.
+    /// Returns the failure domains in which the platform has recently refused reclaimable endpoints.
     fn refused(&self, service: &ServiceName) -> BTreeSet<DomainName> {
         let given = self.given.lock();
         let own = given.iter().filter(|(key, _)| is_reclaimable_of(key, service));
@@ -145,7 +146,7 @@
         refused.map(|((_, domain, _), _)| domain.clone()).collect()
     }
 
-    /// Gives an order unless it was given lately; tells whether it was given.
+    /// Issues an order unless the same one is still pending. Returns true if it was issued.
     fn give(&self, turn: &DutyTurn<'_>, pool: &PoolSpec, order: PoolOrder) -> bool {
         let key = (order.service.clone(), order.domain.clone(), order.reclaimable);
         {
@@ -176,7 +177,7 @@
     present.get(domain).map_or(0, |pool| pool.reclaimable)
 }
 
-/// Takes what was asked of a service since the last look.
+/// Returns the prefill load of a service since the previous plan, and resets its traffic counts.
 fn take_measure(hub: &ServingHub, service: &ServiceName) -> ReadingMeasure {
     let mut soft = hub.soft();
     let traffic = std::mem::take(soft.traffic.entry(service.clone()).or_default());
