--- a/crates/acacia-control/src/serving/stage_orders.rs
+++ b/crates/acacia-control/src/serving/stage_orders.rs
@@ -1,4 +1,4 @@
-//! Plans which engines of a service read prompts and which make tokens, and has them ordered.
+//! Planning of the prefill and decode engines of each service, and the orders that change their stages.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -14,26 +14,26 @@
 use super::duties::DutyTurn;
 use super::engine_orders::EngineOrders;
 
-/// How often the stages are looked at.
+/// Interval at which stages are planned.
 const PLAN_INTERVAL: Duration = Duration::from_millis(500);
-/// How long endpoints that are given back take to report that they leave.
+/// Time that released endpoints take to report that they leave.
 const GIVING_BACK_TIME: Duration = Duration::from_secs(1);
-/// How long a surplus of engines that make tokens has to last before they read prompts.
+/// Time for which a surplus of decode engines has to last before some of them change to prefill.
 const SURPLUS_TIME: Duration = Duration::from_secs(1);
 
-/// What is remembered of a service.
+/// Planning state of a service.
 #[derive(Clone, Copy, Debug, Default)]
 struct ServiceStages {
     peak: StreamPeak,
     wanted_makers: usize,
-    /// Engines that are ordered of the platform; some of them may not have started yet.
+    /// Engines that have been ordered from the platform, including those that have not started yet.
     expected: usize,
-    /// Engines that reading needs.
+    /// Engines that the prefill load needs.
     readers: f64,
     surplus_since: Option<BootTime>,
 }
 
-/// The stages that one holder plans.
+/// Stage plans and open stage orders of one duty holder.
 #[derive(Debug, Default)]
 pub(super) struct StageOrders {
     next_plan: BootTime,
@@ -45,7 +45,7 @@
 type EngineRow = (EndpointName, ServingEndpoint);
 
 impl StageOrders {
-    /// Orders what the running streams need.
+    /// Plans the stages of each service's engines and orders the changes.
     pub(super) fn tick(&mut self, turn: &DutyTurn<'_>) {
         let now = turn.now;
         if now < self.next_plan.max(self.hold_until) || !turn.hub.knows_endpoints(now) {
@@ -60,26 +60,26 @@
         }
     }
 
-    /// Waits with further orders until endpoints that were given back show as leaving: which of them the platform takes
-    /// is its choice, and may be the very ones that were to make the tokens.
+    /// Suspends orders until released endpoints have reported that they leave. The platform chooses which endpoints it
+    /// removes, and may choose those that would be ordered to decode.
     pub(super) fn hold(&mut self, now: BootTime) {
         self.hold_until = now + GIVING_BACK_TIME;
     }
 
-    /// Takes over how many engines of a service there will be, and how many of them reading needs.
+    /// Sets the number of engines that a service will have, and the number of them that the prefill load needs.
     pub(super) fn expect(&mut self, service: &ServiceName, engines: u32, readers: f64) {
         let stages = self.services.entry(service.clone()).or_default();
         stages.expected = usize::try_from(engines).unwrap_or(usize::MAX);
         stages.readers = readers;
     }
 
-    /// Returns how many engines of a service are to make tokens.
+    /// Returns the number of engines of a service that should decode.
     pub(super) fn wanted_makers(&self, service: &ServiceName) -> u32 {
         let wanted = self.services.get(service).map_or(0, |stages| stages.wanted_makers);
         u32::try_from(wanted).unwrap_or(u32::MAX)
     }
 
-    /// Returns how many engines carry out an order.
+    /// Returns the number of engines that take no calls because they are carrying out an order.
     pub(super) fn resting_count(&self, now: BootTime) -> u32 {
         u32::try_from(self.orders.resting(now).len()).unwrap_or(u32::MAX)
     }
@@ -120,7 +120,7 @@
             plan_stages(&rows, wanted)
         };
         if self.orders.awaits_maker(now) && !is_idle {
-            // The engines that are replaced go on until those that replace them can.
+            // The current decode engines continue until those that replace them are ready.
             changes.retain(|change| change.stage == EngineStage::Decode);
         }
         for change in &changes {
@@ -142,7 +142,8 @@
     endpoint.stage == Some(EngineStage::Decode)
 }
 
-/// Returns the engines of a service as they report, what their streams take, and whether no call runs anywhere.
+/// Returns the engines of a service as reported, the demand of the streams that they decode, and true if no call of any
+/// service runs.
 fn look_at(turn: &DutyTurn<'_>, service: &ServiceName) -> (Vec<EngineRow>, StreamDemand, bool) {
     let soft = turn.hub.soft();
     let ready = soft.registry.ready(turn.now, service).into_iter();
