--- a/crates/acacia-control/src/serving/engine_orders.rs
+++ b/crates/acacia-control/src/serving/engine_orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines that may not show in their reports yet.
+//! Stage orders that were sent to engines and do not show in their reports yet.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,34 +19,34 @@
 
 use super::duties::{DutyTurn, OwnedTurn};
 
-/// How long an order without an answer may still be carried out; nothing else is ordered of that engine meanwhile.
+/// Time for which an order without an answer may still be carried out. The engine gets no other order meanwhile.
 const DOUBT_TIME: Duration = Duration::from_secs(14);
-/// How long an engine that has accepted an order may report its earlier stage, beside the time of the change itself: it
-/// first finishes what runs, which takes as long as the longest answer.
+/// Time, in addition to the change itself, for which an engine that has accepted an order may still report its old
+/// stage. It first finishes its running calls, which takes as long as the longest answer.
 const FINISHING_TIME: Duration = Duration::from_secs(8);
-/// How long the order itself and the work that is under way at the engine take before the change begins.
+/// Time from sending an order until the engine begins to change: the transmission and the work that is in progress.
 const STEP_TIME: Duration = Duration::from_millis(500);
-/// How long to wait before an engine that has refused is ordered again.
+/// Delay before an engine that has refused an order gets another one.
 const REFUSED_PAUSE: Duration = Duration::from_millis(500);
 
 #[derive(Clone, Copy, Debug)]
 struct OpenOrder {
     birth: EndpointBirth,
     stage: EngineStage,
-    /// Until then the engine carries it out and takes no calls.
+    /// Time until which the engine carries out the order and takes no calls.
     rests_until: BootTime,
-    /// Until then it may still have an effect.
+    /// Time until which the order may still take effect.
     until: BootTime,
 }
 
-/// The open orders of one holder.
+/// Open stage orders of one duty holder, by engine.
 #[derive(Clone, Debug, Default)]
 pub(super) struct EngineOrders {
     open: Arc<Mutex<BTreeMap<EndpointName, OpenOrder>>>,
 }
 
 impl EngineOrders {
-    /// Forgets orders that show in the engine's reports, or can have no more effect; tells whether there were any.
+    /// Removes orders that show in the engine's reports or can no longer take effect. Returns true if there were any.
     pub(super) fn close(&self, now: BootTime, engines: &[(EndpointName, ServingEndpoint)]) -> bool {
         let mut open = self.open.lock();
         let before = open.len();
@@ -61,7 +61,7 @@
         open.len() < before
     }
 
-    /// Returns an engine as it will be once an open order shows in its reports.
+    /// Returns an engine with the stage that it will report once its open order, if any, is carried out.
     pub(super) fn with_open_order(
         &self,
         name: EndpointName,
@@ -75,14 +75,14 @@
         (name, endpoint)
     }
 
-    /// Tells whether an engine is on its way to making tokens.
+    /// Returns true if an engine is changing to decode.
     pub(super) fn awaits_maker(&self, now: BootTime) -> bool {
         let open = self.open.lock();
         open.values()
             .any(|order| order.stage == EngineStage::Decode && now < order.rests_until)
     }
 
-    /// Returns the engines that carry out an order.
+    /// Returns the engines that take no calls because they are carrying out an order.
     pub(super) fn resting(&self, now: BootTime) -> Vec<RestingEngine> {
         let open = self.open.lock();
         let resting = open.iter().filter(|(_, order)| now < order.rests_until);
@@ -95,7 +95,7 @@
         rows.collect()
     }
 
-    /// Orders a change of an engine, unless an order to it is open.
+    /// Orders an engine to change its stage, unless an earlier order to it is open.
     pub(super) fn give(&self, turn: &DutyTurn<'_>, change: &StageChange, endpoint: &ServingEndpoint, switch: Duration) {
         let mut open = self.open.lock();
         if open.contains_key(&change.endpoint) {
@@ -129,18 +129,18 @@
 enum OrderOutcome {
     Accepted,
     Refused,
-    /// It may be carried out later.
+    /// No answer arrived, and the engine may still carry out the order.
     Open,
 }
 
-/// Asks the engine how many orders it has accepted, and orders the change against that number: a copy that is carried
-/// out late then fails, instead of undoing a newer order.
+/// Asks the engine how many orders it has accepted, and makes the order conditional on that number. A delayed copy then
+/// fails instead of undoing a newer order.
 async fn send(turn: &OwnedTurn, change: &StageChange, address: SocketAddr) -> OrderOutcome {
     let OwnedTurn { hub, client, stamp } = turn;
     let reported = client.send(address, hub.platform.report_call()).await;
     let report = reported.ok().and_then(|(_, body)| hub.platform.read_report(&body));
     let Some(report) = report.filter(|report| !report.busy) else {
-        slog::info!(hub.log, "engine cannot be ordered now"; "event" => event::ORDER_UNSETTLED,
+        slog::info!(hub.log, "no order sent: engine is busy or gave no report"; "event" => event::ORDER_UNSETTLED,
             "endpoint" => change.endpoint.as_str(), "report" => ?report);
         return OrderOutcome::Refused;
     };
@@ -156,7 +156,7 @@
         Ok((status, _)) => (OrderOutcome::Refused, status.to_string()),
         Err(error) => (OrderOutcome::Open, format!("{error:#}")),
     };
-    slog::info!(hub.log, "order sent"; "event" => event::ORDER_SENT, "endpoint" => change.endpoint.as_str(),
+    slog::info!(hub.log, "stage order sent"; "event" => event::ORDER_SENT, "endpoint" => change.endpoint.as_str(),
         "stage" => ?change.stage, "fence" => stamp.fence.0, "expected" => report.accepted_orders,
         "outcome" => ?outcome, "reason" => reason);
     outcome
