--- a/crates/acacia-control/src/serving/duties.rs
+++ b/crates/acacia-control/src/serving/duties.rs
@@ -1,7 +1,9 @@
-//! What one process at a time may do: report usage windows and order endpoints.
+//! Duties that only one process at a time may carry out: the delivery of usage windows, and orders to the platform and
+//! to engines.
 //!
-//! The leader takes all duties under a number that it commits before it uses it. Every call is written under the leader
-//! lease, which is checked in the write itself: a process that was frozen between deciding and writing writes nothing.
+//! The leader holds all duties under a fencing number, which it commits before it uses it. Calls are sent only under
+//! the leader lease, which is checked at each write to the connection. A process that was frozen between its decision
+//! and the write, and has lost the lease, therefore sends nothing.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,17 +28,18 @@
 use super::stage_orders::StageOrders;
 use super::usage_windows::UsageWindows;
 
-/// How often the holder looks at what is to be done.
+/// Interval between two ticks of the duty holder.
 const DUTY_INTERVAL: Duration = Duration::from_millis(100);
-/// How long the platform or an engine may take to answer.
+/// Time limit for an answer of the platform or of an engine.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long the kernel may go on delivering what was written under a lease.
+/// Time for which the kernel retries to deliver data that was written under the lease (`TCP_USER_TIMEOUT`).
 const USER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum size of an answer in bytes.
 const LARGEST_ANSWER: usize = 256 * 1024;
-/// How much longer than the time within which duties must not go back and forth a new holder waits.
+/// Time that a new holder waits in addition to the duty lease, within which the duties must not change hands twice.
 const TURN_MARGIN: Duration = Duration::from_millis(200);
 
-/// Sends calls under the leader lease.
+/// HTTP client that sends only while this process has the leader lease.
 #[derive(Clone, Debug)]
 pub(super) struct DutyClient {
     client: Arc<EndpointClient>,
@@ -45,7 +48,7 @@
 impl DutyClient {
     fn new(hub: &ServingHub) -> Self {
         let group = hub.group.clone();
-        // Connections are never kept: what was written on an old one might still be delivered after a new one was used.
+        // Connections are not reused: data written to an old one might be delivered after data sent on a new one.
         let options = ClientOptions {
             user_timeout: USER_TIMEOUT,
             idle_connections: 0,
@@ -57,7 +60,7 @@
         }
     }
 
-    /// Sends a call and returns status and body of the answer.
+    /// Sends a call and returns the status and body of the answer.
     pub(super) async fn send(&self, address: SocketAddr, call: OutboundCall) -> anyhow::Result<(StatusCode, Bytes)> {
         let mut head = Request::builder()
             .method(call.method)
@@ -74,7 +77,7 @@
             let sent = self.client.send(boot_now(), address, ConnectionChoice::Fresh, request);
             let (parts, incoming) = sent.await?.response.into_parts();
             let whole = read_body(incoming, LARGEST_ANSWER, ANSWER_TIMEOUT).await;
-            let body = whole.map_err(|refusal| anyhow::anyhow!("answer was not whole: {refusal:?}"))?;
+            let body = whole.map_err(|refusal| anyhow::anyhow!("answer body could not be read: {refusal:?}"))?;
             anyhow::Ok((parts.status, body))
         };
         tokio::time::timeout(ANSWER_TIMEOUT, exchange)
@@ -83,7 +86,7 @@
     }
 }
 
-/// One look of the holder at what is to be done: what its systems share.
+/// One tick of the duty holder, with everything that the duties need during it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DutyTurn<'holder> {
     pub(super) now: BootTime,
@@ -92,7 +95,7 @@
     pub(super) stamp: &'holder DutyStamp,
 }
 
-/// What a task needs that goes on after the look has ended.
+/// Owned copy of a [`DutyTurn`] for tasks that continue after the tick.
 #[derive(Clone, Debug)]
 pub(super) struct OwnedTurn {
     pub(super) hub: Arc<ServingHub>,
@@ -111,7 +114,7 @@
 }
 
 impl OwnedTurn {
-    /// Orders endpoints of the platform and tells whether it agrees.
+    /// Sends an order to the platform. Returns true if the platform has accepted it.
     pub(super) async fn send_pool_order(&self, order: &PoolOrder) -> bool {
         let Some(address) = self.hub.settings.platform_address else {
             return false;
@@ -121,7 +124,7 @@
             .send(address, self.hub.platform.pool_call(&self.stamp, order))
             .await;
         let is_accepted = matches!(&sent, Ok((status, _)) if status.is_success());
-        slog::info!(self.hub.log, "endpoints ordered"; "event" => event::POOL_ORDERED,
+        slog::info!(self.hub.log, "pool order sent"; "event" => event::POOL_ORDERED,
             "service" => order.service.as_str(), "domain" => order.domain.as_str(),
             "reclaimable" => order.reclaimable, "desired" => order.desired, "fence" => self.stamp.fence.0,
             "accepted" => is_accepted, "answer" => ?sent.map(|(status, _)| status));
@@ -129,7 +132,7 @@
     }
 }
 
-/// Does the duties while this process leads, until `stop` is cancelled.
+/// Takes and carries out the duties whenever this process leads, until `stop` is cancelled.
 pub(super) async fn run_duties(hub: Arc<ServingHub>, stop: CancellationToken) {
     let client = DutyClient::new(&hub);
     loop {
@@ -149,7 +152,7 @@
     }
 }
 
-/// Commits the number under which this leader acts.
+/// Commits the assignment of the duties to this host, and returns the new fencing number, or `None` if that failed.
 async fn assume(hub: &ServingHub) -> Option<DutyStamp> {
     let holder = hub.settings.host.as_str().into();
     let command = ControlCommand::Serving(ServingCommand::AssumeDuties { holder });
@@ -164,7 +167,8 @@
     })
 }
 
-/// Does the duties for as long as this leadership lasts.
+/// Carries out the duties as long as this process leads without interruption since `since`, or until `stop`
+/// is cancelled.
 async fn hold_duties(
     hub: &Arc<ServingHub>,
     client: &DutyClient,
@@ -172,7 +176,8 @@
     since: BootTime,
     stop: &CancellationToken,
 ) {
-    // The first holder of all has no predecessor; any other lets the time pass within which turns are forbidden.
+    // The very first holder has no predecessor. Any other waits for the duty lease, so that the duties cannot change
+    // hands twice within it.
     let wait = if stamp.fence.0 > 1 {
         hub.settings.duty_lease + TURN_MARGIN
     } else {
