--- a/crates/acacia-control/src/serving/renewals.rs
+++ b/crates/acacia-control/src/serving/renewals.rs
@@ -1,4 +1,5 @@
-//! Answers to the renewals of entries: the confirmation of the lease, the configuration, the work of the others.
+//! Answers to the lease renewals of entries. An answer confirms the lease, and carries the configuration and the state
+//! that the other entries have reported.
 
 use std::net::SocketAddr;
 
@@ -23,10 +24,10 @@
 
 use super::hub::{EntryPresence, ServingHub};
 
-/// Confirms an entry's lease, if this replica leads, and brings its configuration up to date.
+/// Confirms an entry's lease, if this replica leads, and updates its configuration. Otherwise names the leader.
 ///
-/// The leader is confirmed before the state is read: what is read then contains everything that any replica has
-/// acknowledged, so that the entry never serves by a configuration that was replaced before it asked.
+/// Leadership is confirmed before the state is read. The state then contains everything that any replica has
+/// acknowledged, so the entry never uses a configuration that was replaced before it asked.
 pub(super) async fn answer_renewal(
     hub: &ServingHub,
     hello: &ServingHello,
@@ -57,21 +58,21 @@
     })
 }
 
-/// Returns the names of the endpoints that all entries are to leave out.
+/// Returns the names of the endpoints that all entries should avoid.
 fn silent_names(hub: &ServingHub) -> Vec<String> {
     let soft = hub.soft();
     let silent = soft.silent_endpoints().into_iter();
     silent.map(ToString::to_string).collect()
 }
 
-/// What a connection has brought an entry so far.
+/// State that has been sent to an entry on one connection.
 #[derive(Debug, Default)]
 pub(super) struct SentNews {
     config: ConfigSender,
     kept: LogPlace,
 }
 
-/// Takes which engines keep what the entry has had read, and returns what others have told since its last renewal.
+/// Logs the cached prompt parts that the entry announces, and returns those that were logged since its last renewal.
 fn next_kept(hub: &ServingHub, request: &RenewServing, place: &mut LogPlace) -> Vec<KeptPart> {
     let mut soft = hub.soft();
     for kept in &request.kept {
@@ -82,7 +83,7 @@
     rows.map(kept_to_wire).collect()
 }
 
-/// Returns what brings the entry to the newest configuration.
+/// Returns the document or delta that updates the entry to the newest configuration, or `None` if it needs neither.
 fn next_content(
     hub: &ServingHub,
     hello: &ServingHello,
@@ -133,7 +134,8 @@
     GatheredRow { entry, window, counts }
 }
 
-/// Notes what the entry has said, and returns how many entries serve and what the others have at the endpoints.
+/// Records the state that the entry sent. Returns the number of serving entries and the work of the others at each
+/// endpoint.
 fn take_presence(hub: &ServingHub, hello: &ServingHello, request: &RenewServing) -> (u32, Vec<EndpointUse>) {
     let now = boot_now();
     let host: HostName = hello.host.as_str().into();
@@ -161,7 +163,7 @@
     }
     let uses = request.uses.iter().map(use_from_wire).collect();
     let known = soft.entries.remove(&host);
-    // A service for which nothing was asked since the last word is not named in this one.
+    // A renewal names only services with calls since the last one, so the other paces are kept.
     let mut paces = known.map(|row| row.paces).unwrap_or_default();
     let measured = request.demands.iter();
     paces.extend(measured.filter_map(|row| Some((row.service.as_str().into(), pace_from_wire(row.pace_us)?))));
