--- a/crates/acacia-control/src/serving/control_http.rs
+++ b/crates/acacia-control/src/serving/control_http.rs
@@ -1,4 +1,4 @@
-//! Answers operators, who change and read the configuration, and endpoints, who report.
+//! HTTP interface for operators, who write and read the configuration, and for endpoints, which report their state.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,9 +17,9 @@
 use super::codec::{ControlAnswer, ControlCall};
 use super::hub::ServingHub;
 
-/// The largest body of a call: a configuration of thousands of routes.
+/// Maximum size of a body in bytes. It allows for a configuration with thousands of routes.
 const LARGEST_BODY: usize = 8 * 1024 * 1024;
-/// How long a caller may take to send a body.
+/// Time limit for receiving a body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Answers one call.
@@ -32,7 +32,7 @@
             ControlCall::Report { name, endpoint } => take_report(&hub, &name, endpoint),
             ControlCall::Leave { name, birth } => take_leave(&hub, &name, birth),
             ControlCall::BadReport(reason) => {
-                slog::warn!(hub.log, "report of an endpoint cannot be used"; "event" => event::REPORT_REFUSED,
+                slog::warn!(hub.log, "malformed endpoint report refused"; "event" => event::REPORT_REFUSED,
                     "path" => parts.uri.path(), "reason" => &reason);
                 ControlAnswer::Invalid(reason)
             }
@@ -65,13 +65,14 @@
     ControlAnswer::Done
 }
 
-/// The answer to an endpoint that leaves and that this process has never heard of, as after its own start or while the
-/// endpoint's reports reach another part of the group only. It cannot tell entries of it; acknowledged, the endpoint would
-/// go on getting calls until it is gone. Another replica that knows it can be asked.
+/// The answer to an endpoint that deregisters but is not in the registry of this process, which may have started only
+/// now, or may be cut off from the replicas that get the endpoint's reports. This process cannot tell the entries. If
+/// it acknowledged the call, entries would send calls to the endpoint until it is gone. The endpoint can instead ask a
+/// replica that knows it.
 const UNKNOWN: ControlAnswer = ControlAnswer::Unavailable("this replica does not know the endpoint");
 
-/// The answer to an endpoint that leaves, of a process that is cut off from the group: the entries would not hear of
-/// it, and the endpoint would go away under calls that it could still have told another replica about.
+/// The answer to an endpoint that drains or deregisters, if this process is cut off from the group. The entries would
+/// not be told, and would send calls to the endpoint until it is gone. It can instead tell another replica.
 const CUT_OFF: ControlAnswer = ControlAnswer::Unavailable("this replica knows no leader");
 
 fn is_cut_off(hub: &ServingHub) -> bool {
@@ -80,8 +81,8 @@
 
 /// Puts a configuration in force.
 ///
-/// One whose number is not higher than the one held is acknowledged and changes nothing: it is a copy of one that was
-/// accepted, or was overtaken, and refusing it would make the operator believe that an accepted change was lost.
+/// A configuration whose number is not above the current one is acknowledged but changes nothing. It is a copy of an
+/// accepted one or has been superseded, and a refusal would make the operator believe that an accepted change was lost.
 async fn put_config(hub: &ServingHub, document: Bytes) -> ControlAnswer {
     let config = match hub.codec.read_config(&document) {
         Ok(config) => config,
@@ -96,7 +97,8 @@
     }
     let held = hub.group.read().serving.config_number;
     if config.number <= held {
-        slog::info!(hub.log, "configuration acknowledged again"; "event" => event::SERVING_CONFIG_OLD,
+        slog::info!(hub.log, "configuration is not newer and was acknowledged without effect";
+            "event" => event::SERVING_CONFIG_OLD,
             "number" => config.number.0, "held" => held.0);
         return ControlAnswer::Done;
     }
@@ -109,7 +111,7 @@
             ControlAnswer::Done
         }
         Ok(outcome) => {
-            slog::error!(hub.log, "unexpected outcome of a configuration"; "event" => event::MESSAGE_REFUSED,
+            slog::error!(hub.log, "unexpected outcome of a configuration command"; "event" => event::MESSAGE_REFUSED,
                 "outcome" => ?outcome);
             ControlAnswer::Unavailable("outcome is open")
         }
@@ -128,7 +130,8 @@
     ControlAnswer::Invalid(lines.join("\n"))
 }
 
-/// Reads the configuration in force, from a leader that a quorum has confirmed: any other could show an older one.
+/// Returns the configuration in force. Only a leader that a quorum has confirmed answers, since any other replica might
+/// have an older configuration.
 async fn read_config(hub: &ServingHub) -> ControlAnswer {
     if hub.group.confirm().await.is_err() {
         return elsewhere(hub);
