--- a/crates/acacia-control/src/serving/control_http.rs
+++ b/crates/acacia-control/src/serving/control_http.rs
@@ -50,7 +50,7 @@
     if endpoint.phase != EndpointPhase::Ready && is_cut_off(hub) {
         return CUT_OFF;
     }
-    hub.take_report(name, endpoint);
+    hub.record_report(name, endpoint);
     ControlAnswer::Done
 }
 
@@ -58,10 +58,10 @@
     if is_cut_off(hub) {
         return CUT_OFF;
     }
-    if !hub.knows(name) {
+    if !hub.has_endpoint(name) {
         return UNKNOWN;
     }
-    hub.take_leave(name, birth);
+    hub.record_leave(name, birth);
     ControlAnswer::Done
 }
 
--- a/crates/acacia-control/src/serving/hub.rs
+++ b/crates/acacia-control/src/serving/hub.rs
@@ -29,16 +29,16 @@
 use crate::group::GroupHandle;
 
 /// Maximum number of updates that a session may lag behind. Beyond it, the session sends all endpoints again.
-const WAITING_NEWS: usize = 1_024;
+const MAX_QUEUED_UPDATES: usize = 1_024;
 /// Time after the start of the process until its registry counts as complete. Endpoints report about once a second, and
 /// send their first report up to two seconds after the group has begun to answer.
-const SETTLING_TIME: Duration = Duration::from_millis(3_800);
+const REGISTRY_FILL_TIME: Duration = Duration::from_millis(3_800);
 /// Time without a renewal after which an entry no longer counts as serving. Its lease has ended long before.
-const ENTRY_SILENCE: Duration = Duration::from_secs(10);
+const ENTRY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The state that an entry sent with its last renewal.
 #[derive(Clone, Debug)]
-pub(super) struct EntryPresence {
+pub(super) struct EntryState {
     pub(super) heard_at: BootTime,
     pub(super) domain: DomainName,
     pub(super) uses: Vec<(EndpointName, EndpointWork)>,
@@ -60,27 +60,27 @@
 
 /// Soft state: it is not replicated, and is rebuilt from reports after each start.
 #[derive(Debug, Default)]
-pub(super) struct ServingSoft {
+pub(super) struct SoftState {
     pub(super) registry: EndpointRegistry,
-    pub(super) entries: BTreeMap<HostName, EntryPresence>,
+    pub(super) entries: BTreeMap<HostName, EntryState>,
     /// Counts of started calls that entries have reported and that are not committed yet.
-    pub(super) starts: Vec<GatheredRow>,
+    pub(super) uncommitted_counts: Vec<GatheredRow>,
     pub(super) traffic: BTreeMap<ServiceName, ServiceTraffic>,
     /// Prompt parts that engines have cached, as announced by entries.
     pub(super) kept: KeptLog,
     config: Option<Arc<ServingConfig>>,
 }
 
-impl ServingSoft {
+impl SoftState {
     /// Forgets entries that have been silent for too long, and returns the number of the others.
     pub(super) fn live_entries(&mut self, now: BootTime) -> usize {
-        self.entries.retain(|_, row| now.since(row.heard_at) < ENTRY_SILENCE);
+        self.entries.retain(|_, row| now.since(row.heard_at) < ENTRY_TIMEOUT);
         self.entries.len()
     }
 
     /// Returns the prefill time per token of a service in milliseconds: the median over the entries, or 0 before the
     /// first measurement.
-    pub(super) fn pace_ms(&self, service: &ServiceName) -> f64 {
+    pub(super) fn prefill_ms_per_token(&self, service: &ServiceName) -> f64 {
         let known = self.entries.values().filter_map(|row| row.paces.get(service));
         let mut paces: Vec<f64> = known.copied().collect();
         paces.sort_unstable_by(f64::total_cmp);
@@ -106,7 +106,7 @@
     }
 
     /// Returns the work that entries have at each endpoint, summed over all entries except `host`.
-    pub(super) fn uses_beside(&self, host: Option<&HostName>) -> BTreeMap<EndpointName, EndpointWork> {
+    pub(super) fn work_except(&self, host: Option<&HostName>) -> BTreeMap<EndpointName, EndpointWork> {
         let mut sums: BTreeMap<EndpointName, EndpointWork> = BTreeMap::new();
         for (_, row) in self.entries.iter().filter(|(name, _)| Some(*name) != host) {
             for (endpoint, work) in &row.uses {
@@ -127,9 +127,9 @@
     pub(super) platform: Arc<dyn PlatformCodec>,
     pub(super) log: Logger,
     started_at: BootTime,
-    news: broadcast::Sender<Arc<Body>>,
-    soft: Mutex<ServingSoft>,
-    configs: Mutex<ConfigCache>,
+    updates: broadcast::Sender<Arc<Body>>,
+    soft_state: Mutex<SoftState>,
+    config_cache: Mutex<ConfigCache>,
 }
 
 impl ServingHub {
@@ -147,53 +147,53 @@
             platform,
             log,
             started_at: boot_now(),
-            news: broadcast::Sender::new(WAITING_NEWS),
-            soft: Mutex::default(),
-            configs: Mutex::default(),
+            updates: broadcast::Sender::new(MAX_QUEUED_UPDATES),
+            soft_state: Mutex::default(),
+            config_cache: Mutex::default(),
         }
     }
 
     /// Returns true once every endpoint has had time to report since this process started. Orders that are based on an
     /// incomplete registry would be wrong.
-    pub(super) fn knows_endpoints(&self, now: BootTime) -> bool {
-        now.since(self.started_at) >= SETTLING_TIME
+    pub(super) fn is_registry_complete(&self, now: BootTime) -> bool {
+        now.since(self.started_at) >= REGISTRY_FILL_TIME
     }
 
-    pub(super) fn soft(&self) -> MutexGuard<'_, ServingSoft> {
-        self.soft.lock()
+    pub(super) fn soft_state(&self) -> MutexGuard<'_, SoftState> {
+        self.soft_state.lock()
     }
 
     /// Subscribes to the updates that are broadcast to all sessions.
-    pub(super) fn news(&self) -> broadcast::Receiver<Arc<Body>> {
-        self.news.subscribe()
+    pub(super) fn subscribe(&self) -> broadcast::Receiver<Arc<Body>> {
+        self.updates.subscribe()
     }
 
     /// Records a report that an endpoint sent to this process, and broadcasts it to all sessions unless it is stale.
-    pub(super) fn take_report(&self, name: &EndpointName, endpoint: ServingEndpoint) -> ReportEffect {
-        let effect = self.soft().registry.report(boot_now(), name, endpoint);
-        self.pass_on(name, effect);
+    pub(super) fn record_report(&self, name: &EndpointName, endpoint: ServingEndpoint) -> ReportEffect {
+        let effect = self.soft_state().registry.report(boot_now(), name, endpoint);
+        self.broadcast_endpoint(name, effect);
         effect
     }
 
     /// Returns true if the registry has the endpoint.
-    pub(super) fn knows(&self, name: &EndpointName) -> bool {
-        self.soft().registry.get(name).is_some()
+    pub(super) fn has_endpoint(&self, name: &EndpointName) -> bool {
+        self.soft_state().registry.get(name).is_some()
     }
 
     /// Records that an endpoint has deregistered at this process, and broadcasts it to all sessions unless it is stale.
-    pub(super) fn take_leave(&self, name: &EndpointName, birth: Option<EndpointBirth>) -> ReportEffect {
-        let effect = self.soft().registry.leave(name, birth);
-        self.pass_on(name, effect);
+    pub(super) fn record_leave(&self, name: &EndpointName, birth: Option<EndpointBirth>) -> ReportEffect {
+        let effect = self.soft_state().registry.leave(name, birth);
+        self.broadcast_endpoint(name, effect);
         effect
     }
 
     /// Records a report that an endpoint sent to another replica. That replica broadcasts it.
-    pub(super) fn hear_report(&self, name: &EndpointName, endpoint: ServingEndpoint) {
-        self.soft().registry.hear(boot_now(), name, endpoint);
+    pub(super) fn record_relayed_report(&self, name: &EndpointName, endpoint: ServingEndpoint) {
+        self.soft_state().registry.hear(boot_now(), name, endpoint);
     }
 
-    fn pass_on(&self, name: &EndpointName, effect: ReportEffect) {
-        let soft = self.soft();
+    fn broadcast_endpoint(&self, name: &EndpointName, effect: ReportEffect) {
+        let soft = self.soft_state();
         let Some(endpoint) = soft.registry.get(name) else {
             return;
         };
@@ -209,18 +209,18 @@
         }
         let rows = vec![endpoint_to_wire(name, endpoint)];
         // Sending fails if there is no session. A session that begins later starts with all endpoints.
-        let _nobody = self.news.send(Arc::new(Body::News(EndpointNews { rows })));
+        let _no_receiver = self.updates.send(Arc::new(Body::News(EndpointNews { rows })));
     }
 
     /// Tells all sessions which engines carry out an order, before it is given: an entry that learned of it from the
     /// engine's next report would send calls there in vain for a second.
-    pub(super) fn tell_resting(&self, engines: Vec<RestingEngine>) {
-        let _nobody = self.news.send(Arc::new(Body::Resting(RestingEngines { engines })));
+    pub(super) fn broadcast_resting(&self, engines: Vec<RestingEngine>) {
+        let _no_receiver = self.updates.send(Arc::new(Body::Resting(RestingEngines { engines })));
     }
 
     /// Returns all endpoints, for the beginning of a session.
     pub(super) fn all_endpoints(&self) -> EndpointNews {
-        let soft = self.soft();
+        let soft = self.soft_state();
         let rows = soft
             .registry
             .rows()
@@ -235,7 +235,7 @@
         if number == ConfigNumber(0) {
             return None;
         }
-        let mut soft = self.soft();
+        let mut soft = self.soft_state();
         if let Some(config) = soft.config.as_ref().filter(|config| config.number == number) {
             return Some(Arc::clone(config));
         }
@@ -262,18 +262,18 @@
         }
     }
 
-    pub(super) fn configs(&self) -> MutexGuard<'_, ConfigCache> {
-        self.configs.lock()
+    pub(super) fn config_cache(&self) -> MutexGuard<'_, ConfigCache> {
+        self.config_cache.lock()
     }
 
     /// Adds each configuration that comes into force to the cache, until the process ends.
-    pub(super) async fn keep_recent_configs(&self) {
+    pub(super) async fn cache_recent_configs(&self) {
         let mut numbers = self.group.serving_numbers();
         numbers.mark_changed();
         while numbers.changed().await.is_ok() {
             numbers.borrow_and_update();
             let newest = self.newest_config();
-            self.configs().recent.record(newest);
+            self.config_cache().recent.record(newest);
         }
     }
 
--- a/crates/acacia-control/src/serving/observer.rs
+++ b/crates/acacia-control/src/serving/observer.rs
@@ -89,7 +89,7 @@
         let Body::News(news) = body else { continue };
         for row in &news.rows {
             match endpoint_from_wire(row) {
-                Ok((name, endpoint)) => hub.hear_report(&name, endpoint),
+                Ok((name, endpoint)) => hub.record_relayed_report(&name, endpoint),
                 Err(error) => {
                     slog::warn!(hub.log, "malformed endpoint report"; "event" => event::MESSAGE_REFUSED,
                         "from" => address, "error" => %error);
--- a/crates/acacia-control/src/serving/pool_orders.rs
+++ b/crates/acacia-control/src/serving/pool_orders.rs
@@ -47,7 +47,7 @@
         }
         self.next_plan = now + PLAN_INTERVAL;
         let Some(config) = turn.hub.config() else { return };
-        let is_settled = turn.hub.knows_endpoints(now);
+        let is_settled = turn.hub.is_registry_complete(now);
         for (service, spec) in &config.services {
             let Some(pool) = &spec.pool else { continue };
             let measure = take_measure(turn.hub, service);
@@ -70,7 +70,7 @@
         let total: u32 = present.values().map(|pool| pool.total()).sum();
         self.note_arrivals(service, &present);
         let (agreed, refused) = (self.agreed(service), self.refused(service));
-        let has_calls = turn.hub.soft().has_calls();
+        let has_calls = turn.hub.soft_state().has_calls();
         let need = self.needs.entry(service.clone()).or_default();
         // Without this subtraction, reclaimable endpoints that this holder has ordered would count as started by the
         // operators.
@@ -104,8 +104,8 @@
         }
         slog::debug!(turn.hub.log, "pool planned"; "event" => event::POOL_PLANNED, "service" => service.as_str(),
             "needed" => view.needed, "serving" => view.serving, "idle" => view.is_idle,
-            "readers" => readers, "pace_ms" => turn.hub.soft().pace_ms(service), "wanted" => ?wanted,
-            "present" => ?view.present);
+            "readers" => readers, "pace_ms" => turn.hub.soft_state().prefill_ms_per_token(service),
+            "wanted" => ?wanted, "present" => ?view.present);
         let wanted = fill_gap(pool, &wanted, &view);
         for change in plan_pool_changes(pool, &wanted, &view) {
             let order = PoolOrder {
@@ -179,16 +179,16 @@
 
 /// Returns the prefill load of a service since the previous plan, and resets its traffic counts.
 fn take_measure(hub: &ServingHub, service: &ServiceName) -> ReadingMeasure {
-    let mut soft = hub.soft();
+    let mut soft = hub.soft_state();
     let traffic = std::mem::take(soft.traffic.entry(service.clone()).or_default());
     ReadingMeasure {
         unread_tokens: traffic.unread_tokens,
-        pace: soft.pace_ms(service),
+        pace: soft.prefill_ms_per_token(service),
     }
 }
 
 fn present_pools(hub: &ServingHub, service: &ServiceName) -> BTreeMap<DomainName, DomainPool> {
-    let soft = hub.soft();
+    let soft = hub.soft_state();
     let mut pools: BTreeMap<DomainName, DomainPool> = BTreeMap::new();
     let rows = soft.registry.rows().map(|(_, endpoint)| endpoint);
     for endpoint in rows.filter(|endpoint| endpoint.service == *service && endpoint.phase == EndpointPhase::Ready) {
--- a/crates/acacia-control/src/serving/renewals.rs
+++ b/crates/acacia-control/src/serving/renewals.rs
@@ -22,7 +22,7 @@
 use acaciabay::util::number::whole_millis;
 use prost::Message;
 
-use super::hub::{EntryPresence, ServingHub};
+use super::hub::{EntryState, ServingHub};
 
 /// Confirms an entry's lease, if this replica leads, and updates its configuration. Otherwise names the leader.
 ///
@@ -60,7 +60,7 @@
 
 /// Returns the names of the endpoints that all entries should avoid.
 fn silent_names(hub: &ServingHub) -> Vec<String> {
-    let soft = hub.soft();
+    let soft = hub.soft_state();
     let silent = soft.silent_endpoints().into_iter();
     silent.map(ToString::to_string).collect()
 }
@@ -74,7 +74,7 @@
 
 /// Logs the cached prompt parts that the entry announces, and returns those that were logged since its last renewal.
 fn next_kept(hub: &ServingHub, request: &RenewServing, place: &mut LogPlace) -> Vec<KeptPart> {
-    let mut soft = hub.soft();
+    let mut soft = hub.soft_state();
     for kept in &request.kept {
         soft.kept.push(kept_from_wire(kept));
     }
@@ -99,8 +99,8 @@
     let content = sent.next_update(
         held,
         newest,
-        |number| hub.configs().recent.get(number).cloned(),
-        |base, target| hub.configs().delta_between(base, target),
+        |number| hub.config_cache().recent.get(number).cloned(),
+        |base, target| hub.config_cache().delta_between(base, target),
     );
     content.map(content_to_wire)
 }
@@ -152,8 +152,8 @@
             .filter(|row| state.serving.gathered.has_new_counts(row))
             .collect()
     };
-    let mut soft = hub.soft();
-    soft.starts.extend(news);
+    let mut soft = hub.soft_state();
+    soft.uncommitted_counts.extend(news);
     for demand in &request.demands {
         let traffic = soft.traffic.entry(demand.service.as_str().into()).or_default();
         traffic.calls += demand.calls;
@@ -167,7 +167,7 @@
     let mut paces = known.map(|row| row.paces).unwrap_or_default();
     let measured = request.demands.iter();
     paces.extend(measured.filter_map(|row| Some((row.service.as_str().into(), pace_from_wire(row.pace_us)?))));
-    let presence = EntryPresence {
+    let presence = EntryState {
         heard_at: now,
         domain: hello.domain.as_str().into(),
         uses,
@@ -176,7 +176,7 @@
     };
     soft.entries.insert(host.clone(), presence);
     let entries = u32::try_from(soft.live_entries(now)).unwrap_or(u32::MAX);
-    let others = soft.uses_beside(Some(&host));
+    let others = soft.work_except(Some(&host));
     let others = others.iter().map(|(name, work)| use_to_wire(name, *work));
     (entries, others.collect())
 }
--- a/crates/acacia-control/src/serving/session.rs
+++ b/crates/acacia-control/src/serving/session.rs
@@ -132,7 +132,7 @@
 /// Sends all endpoints, and then every change until the session ends: endpoints, replica addresses, leadership of this
 /// replica, and the number of the configuration.
 async fn send_news(hub: &Arc<ServingHub>, frames: mpsc::Sender<WaitingFrame>) {
-    let mut news = hub.news();
+    let mut news = hub.subscribe();
     let mut numbers = hub.group.serving_numbers();
     let mut status = hub.group.status();
     let mut addresses = Vec::new();
--- a/crates/acacia-control/src/serving/stage_orders.rs
+++ b/crates/acacia-control/src/serving/stage_orders.rs
@@ -48,7 +48,7 @@
     /// Plans the stages of each service's engines and orders the changes.
     pub(super) fn tick(&mut self, turn: &DutyTurn<'_>) {
         let now = turn.now;
-        if now < self.next_plan.max(self.hold_until) || !turn.hub.knows_endpoints(now) {
+        if now < self.next_plan.max(self.hold_until) || !turn.hub.is_registry_complete(now) {
             return;
         }
         self.next_plan = now + PLAN_INTERVAL;
@@ -133,7 +133,7 @@
             }
         }
         if has_closed || !changes.is_empty() {
-            turn.hub.tell_resting(self.orders.resting(now));
+            turn.hub.broadcast_resting(self.orders.resting(now));
         }
     }
 }
@@ -145,13 +145,13 @@
 /// Returns the engines of a service as reported, the demand of the streams that they decode, and true if no call of any
 /// service runs.
 fn look_at(turn: &DutyTurn<'_>, service: &ServiceName) -> (Vec<EngineRow>, StreamDemand, bool) {
-    let soft = turn.hub.soft();
+    let soft = turn.hub.soft_state();
     let ready = soft.registry.ready(turn.now, service).into_iter();
     let engines: Vec<EngineRow> = ready
         .filter(|(_, endpoint)| endpoint.stage.is_some())
         .map(|(name, endpoint)| (name.clone(), endpoint.clone()))
         .collect();
-    let uses = soft.uses_beside(None);
+    let uses = soft.work_except(None);
     let mut present = StreamDemand::default();
     for (name, _) in engines.iter().filter(|(_, endpoint)| makes_tokens(endpoint)) {
         let work = uses.get(name).copied().unwrap_or_default();
--- a/crates/acacia-control/src/serving/start.rs
+++ b/crates/acacia-control/src/serving/start.rs
@@ -191,7 +191,7 @@
     tasks.spawn(tidy(Arc::clone(hub), stop.clone()));
     let (keeping, stopping) = (Arc::clone(hub), stop.clone());
     tasks.spawn(async move {
-        stopping.run_until_cancelled(keeping.keep_recent_configs()).await;
+        stopping.run_until_cancelled(keeping.cache_recent_configs()).await;
     });
     let answering = Arc::clone(hub);
     tasks.spawn(serve_http(
@@ -210,7 +210,7 @@
     loop {
         tokio::select! {
             () = stop.cancelled() => return,
-            () = tokio::time::sleep(TIDY_INTERVAL) => hub.soft().registry.forget_silent(boot_now()),
+            () = tokio::time::sleep(TIDY_INTERVAL) => hub.soft_state().registry.forget_silent(boot_now()),
         }
     }
 }
--- a/crates/acacia-control/src/serving/usage_windows.rs
+++ b/crates/acacia-control/src/serving/usage_windows.rs
@@ -78,7 +78,7 @@
 /// Commits the counts that entries have reported since the previous tick. If they were only in memory until the window
 /// ends, killing all processes at once would lose up to a whole window, and its calls would never be billed.
 async fn gather(hub: &ServingHub) {
-    let rows = std::mem::take(&mut hub.soft().starts);
+    let rows = std::mem::take(&mut hub.soft_state().uncommitted_counts);
     if rows.is_empty() {
         return;
     }
@@ -94,7 +94,7 @@
         due: hub.settings.usage_due,
     };
     let last_sealed = hub.group.read().serving.last_sealed;
-    let silence = hub.soft().longest_silence(boot_now());
+    let silence = hub.soft_state().longest_silence(boot_now());
     for window in plan_windows(&clock, last_sealed, silence) {
         let command = ServingCommand::SealStarts { window };
         if hub.group.propose(ControlCommand::Serving(command)).await.is_err() {
