--- a/crates/acacia-control/src/serving/observer.rs
+++ b/crates/acacia-control/src/serving/observer.rs
@@ -18,12 +18,12 @@
 use tokio_util::sync::CancellationToken;
 
 use super::hub::ServingHub;
-use super::session::ALIVE_INTERVAL;
+use super::session::KEEPALIVE_INTERVAL;
 
 /// Time for which the kernel retries to deliver data to a replica (`TCP_USER_TIMEOUT`).
 const USER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time without a received byte after which the connection counts as lost: three missed keepalives.
-const SILENCE: Duration = ALIVE_INTERVAL.saturating_mul(3);
+const SILENCE: Duration = KEEPALIVE_INTERVAL.saturating_mul(3);
 /// Delay before a new connection attempt.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(200);
 
--- a/crates/acacia-control/src/serving/session.rs
+++ b/crates/acacia-control/src/serving/session.rs
@@ -20,9 +20,9 @@
 use super::renewals::{SentNews, answer_renewal};
 
 /// Interval of keepalive messages. If none arrives, the other side knows that the connection is dead.
-pub(super) const ALIVE_INTERVAL: Duration = Duration::from_millis(500);
+pub(super) const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(500);
 /// Maximum number of frames that are queued for one connection.
-const WAITING_FRAMES: usize = 256;
+const MAX_QUEUED_FRAMES: usize = 256;
 
 /// Serves one session until its connection ends.
 pub(super) async fn serve_session(
@@ -33,11 +33,11 @@
 ) -> std::io::Result<()> {
     slog::info!(hub.log, "session begun"; "event" => event::SESSION_BEGUN,
         "peer" => &hello.host, "start" => hello.start, "entry" => hello.entry);
-    let (frames, waiting) = mpsc::channel(WAITING_FRAMES);
+    let (frames, queue) = mpsc::channel(MAX_QUEUED_FRAMES);
     let ended = tokio::select! {
         ended = read_frames(reader, &hub, &hello, frames.clone()) => ended,
-        ended = write_frames(writer, waiting, &hub, &hello) => ended,
-        () = send_news(&hub, frames) => Ok(()),
+        ended = write_frames(writer, queue, &hub, &hello) => ended,
+        () = send_updates(&hub, frames) => Ok(()),
     };
     slog::info!(hub.log, "session ended"; "event" => event::SESSION_ENDED,
         "peer" => &hello.host, "start" => hello.start, "outcome" => ?ended.as_ref().err());
@@ -48,7 +48,7 @@
     mut reader: FrameReader<TcpStream>,
     hub: &Arc<ServingHub>,
     hello: &ServingHello,
-    frames: mpsc::Sender<WaitingFrame>,
+    frames: mpsc::Sender<QueuedFrame>,
 ) -> std::io::Result<()> {
     let mut sent = SentNews::default();
     while let Some(frame) = reader.next().await? {
@@ -57,7 +57,7 @@
         };
         if let Body::Renew(request) = body {
             let answer = answer_renewal(hub, hello, request, &mut sent).await;
-            if frames.send(WaitingFrame::answer(boot_now(), answer)).await.is_err() {
+            if frames.send(QueuedFrame::answer(boot_now(), answer)).await.is_err() {
                 return Ok(());
             }
         }
@@ -67,59 +67,62 @@
 
 /// A frame in the queue of a connection.
 #[derive(Debug)]
-struct WaitingFrame {
+struct QueuedFrame {
     body: Body,
     /// Number of the configuration that the frame carries, if any, and the time at which it was queued.
-    carried: Option<(u64, BootTime)>,
+    queued_config: Option<(u64, BootTime)>,
 }
 
-impl WaitingFrame {
+impl QueuedFrame {
     fn answer(now: BootTime, body: Body) -> Self {
-        let carried = match &body {
+        let queued_config = match &body {
             Body::Renewed(renewed) => renewed.content.as_ref().map(|_| (renewed.config_number, now)),
             _ => None,
         };
-        Self { body, carried }
+        Self { body, queued_config }
     }
 }
 
-impl From<Body> for WaitingFrame {
+impl From<Body> for QueuedFrame {
     fn from(body: Body) -> Self {
-        Self { body, carried: None }
+        Self {
+            body,
+            queued_config: None,
+        }
     }
 }
 
 async fn write_frames(
     mut writer: FrameWriter<TcpStream>,
-    mut waiting: mpsc::Receiver<WaitingFrame>,
+    mut queue: mpsc::Receiver<QueuedFrame>,
     hub: &ServingHub,
     hello: &ServingHello,
 ) -> std::io::Result<()> {
-    let mut next_sign = Instant::now();
+    let mut next_keepalive = Instant::now();
     loop {
-        let frame = match tokio::time::timeout_at(next_sign, waiting.recv()).await {
+        let frame = match tokio::time::timeout_at(next_keepalive, queue.recv()).await {
             Ok(Some(frame)) => frame,
             Ok(None) => return Ok(()),
             Err(_elapsed) => {
-                next_sign = Instant::now() + ALIVE_INTERVAL;
-                sign_of_life().into()
+                next_keepalive = Instant::now() + KEEPALIVE_INTERVAL;
+                keepalive().into()
             }
         };
-        let mut carried = frame.carried;
+        let mut queued_config = frame.queued_config;
         writer.feed(serving_frame(frame.body)).await?;
-        while let Ok(frame) = waiting.try_recv() {
-            carried = carried.or(frame.carried);
+        while let Ok(frame) = queue.try_recv() {
+            queued_config = queued_config.or(frame.queued_config);
             writer.feed(serving_frame(frame.body)).await?;
         }
         writer.flush().await?;
-        if let Some((number, since)) = carried {
+        if let Some((number, since)) = queued_config {
             slog::info!(hub.log, "configuration written"; "event" => event::CONFIG_WRITTEN, "entry" => &hello.host,
                 "number" => number, "waited_ms" => whole_millis(boot_now().since(since)));
         }
     }
 }
 
-fn sign_of_life() -> Body {
+fn keepalive() -> Body {
     Body::Alive(SignOfLife {
         wall_ms: wall_nanos() / 1_000_000,
     })
@@ -131,12 +134,12 @@
 
 /// Sends all endpoints, and then every change until the session ends: endpoints, replica addresses, leadership of this
 /// replica, and the number of the configuration.
-async fn send_news(hub: &Arc<ServingHub>, frames: mpsc::Sender<WaitingFrame>) {
-    let mut news = hub.subscribe();
+async fn send_updates(hub: &Arc<ServingHub>, frames: mpsc::Sender<QueuedFrame>) {
+    let mut updates = hub.subscribe();
     let mut numbers = hub.group.serving_numbers();
     let mut status = hub.group.status();
     let mut addresses = Vec::new();
-    let mut led = false;
+    let mut was_leading = false;
     let first = Body::News(hub.all_endpoints());
     if frames.send(first.into()).await.is_err() {
         return;
@@ -145,8 +148,8 @@
     status.mark_changed();
     loop {
         let body = tokio::select! {
-            received = news.recv() => match received {
-                Ok(news) => news.as_ref().clone(),
+            received = updates.recv() => match received {
+                Ok(update) => update.as_ref().clone(),
                 Err(RecvError::Lagged(_)) => Body::News(hub.all_endpoints()),
                 Err(RecvError::Closed) => return,
             },
@@ -157,8 +160,8 @@
                     (status.leading_since.is_some(), voter_addresses(&status.members))
                 };
                 // Entries without a lease refuse everything: told of the leader, they need not find it by asking.
-                let leads_now = std::mem::replace(&mut led, leads) != leads && leads;
-                if leads_now && frames.send(Body::Leads(Leadership {}).into()).await.is_err() {
+                let has_become_leader = std::mem::replace(&mut was_leading, leads) != leads && leads;
+                if has_become_leader && frames.send(Body::Leads(Leadership {}).into()).await.is_err() {
                     return;
                 }
                 if voters == addresses {
