--- a/crates/acacia-control/src/serving/renewals.rs
+++ b/crates/acacia-control/src/serving/renewals.rs
@@ -32,9 +32,9 @@
     hub: &ServingHub,
     hello: &ServingHello,
     request: RenewServing,
-    sent: &mut SentNews,
+    sent: &mut SentState,
 ) -> Body {
-    let read_at = boot_now();
+    let received_at = boot_now();
     if hub.group.confirm().await.is_err() {
         return Body::Elsewhere(ServingElsewhere {
             request: request.request,
@@ -42,10 +42,10 @@
         });
     }
     let newest = hub.newest_config();
-    let (entries, others) = take_presence(hub, hello, &request);
-    let content = next_content(hub, hello, &request, &newest, &mut sent.config);
+    let (entries, others) = record_entry_state(hub, hello, &request);
+    let content = config_update(hub, hello, &request, &newest, &mut sent.config);
     if let Some(content) = &content {
-        log_content(hub, hello, &request, &newest, content, read_at);
+        log_config_update(hub, hello, &request, &newest, content, received_at);
     }
     Body::Renewed(ServingRenewed {
         request: request.request,
@@ -53,13 +53,13 @@
         content,
         entries,
         others,
-        kept: next_kept(hub, &request, &mut sent.kept),
-        silent: silent_names(hub),
+        kept: exchange_cached_parts(hub, &request, &mut sent.kept),
+        silent: silent_endpoint_names(hub),
     })
 }
 
 /// Returns the names of the endpoints that all entries should avoid.
-fn silent_names(hub: &ServingHub) -> Vec<String> {
+fn silent_endpoint_names(hub: &ServingHub) -> Vec<String> {
     let soft = hub.soft_state();
     let silent = soft.silent_endpoints().into_iter();
     silent.map(ToString::to_string).collect()
@@ -67,24 +67,24 @@
 
 /// State that has been sent to an entry on one connection.
 #[derive(Debug, Default)]
-pub(super) struct SentNews {
+pub(super) struct SentState {
     config: ConfigSender,
     kept: LogPlace,
 }
 
 /// Logs the cached prompt parts that the entry announces, and returns those that were logged since its last renewal.
-fn next_kept(hub: &ServingHub, request: &RenewServing, place: &mut LogPlace) -> Vec<KeptPart> {
+fn exchange_cached_parts(hub: &ServingHub, request: &RenewServing, position: &mut LogPlace) -> Vec<KeptPart> {
     let mut soft = hub.soft_state();
     for kept in &request.kept {
         soft.kept.push(kept_from_wire(kept));
     }
-    let (rows, next) = soft.kept.since(*place);
-    *place = next;
+    let (rows, next) = soft.kept.since(*position);
+    *position = next;
     rows.map(kept_to_wire).collect()
 }
 
 /// Returns the document or delta that updates the entry to the newest configuration, or `None` if it needs neither.
-fn next_content(
+fn config_update(
     hub: &ServingHub,
     hello: &ServingHello,
     request: &RenewServing,
@@ -105,13 +105,13 @@
     content.map(content_to_wire)
 }
 
-fn log_content(
+fn log_config_update(
     hub: &ServingHub,
     hello: &ServingHello,
     request: &RenewServing,
     newest: &ConfigDocument,
     content: &serving_renewed::Content,
-    read_at: BootTime,
+    received_at: BootTime,
 ) {
     let (base, bytes) = match content {
         serving_renewed::Content::Document(document) => (None, document.len()),
@@ -119,7 +119,7 @@
     };
     slog::info!(hub.log, "configuration sent"; "event" => event::CONFIG_SENT, "entry" => &hello.host,
         "number" => newest.number.0, "held" => request.config_number, "base" => base, "bytes" => bytes,
-        "asked" => request.request, "answer_ms" => whole_millis(boot_now().since(read_at)));
+        "asked" => request.request, "answer_ms" => whole_millis(boot_now().since(received_at)));
     metrics::counter!("acacia_config_bytes_sent_total").increment(bytes as u64);
 }
 
@@ -136,7 +136,7 @@
 
 /// Records the state that the entry sent. Returns the number of serving entries and the work of the others at each
 /// endpoint.
-fn take_presence(hub: &ServingHub, hello: &ServingHello, request: &RenewServing) -> (u32, Vec<EndpointUse>) {
+fn record_entry_state(hub: &ServingHub, hello: &ServingHello, request: &RenewServing) -> (u32, Vec<EndpointUse>) {
     let now = boot_now();
     let host: HostName = hello.host.as_str().into();
     let start = EntryStart(hello.start);
@@ -145,7 +145,7 @@
         .iter()
         .map(|message| gathered_row(start, message))
         .collect();
-    let news: Vec<GatheredRow> = {
+    let new_rows: Vec<GatheredRow> = {
         let state = hub.group.read();
         starts
             .into_iter()
@@ -153,7 +153,7 @@
             .collect()
     };
     let mut soft = hub.soft_state();
-    soft.uncommitted_counts.extend(news);
+    soft.uncommitted_counts.extend(new_rows);
     for demand in &request.demands {
         let traffic = soft.traffic.entry(demand.service.as_str().into()).or_default();
         traffic.calls += demand.calls;
@@ -167,14 +167,14 @@
     let mut paces = known.map(|row| row.paces).unwrap_or_default();
     let measured = request.demands.iter();
     paces.extend(measured.filter_map(|row| Some((row.service.as_str().into(), pace_from_wire(row.pace_us)?))));
-    let presence = EntryState {
+    let state = EntryState {
         heard_at: now,
         domain: hello.domain.as_str().into(),
         uses,
         silent: request.silent.iter().map(|name| name.as_str().into()).collect(),
         paces,
     };
-    soft.entries.insert(host.clone(), presence);
+    soft.entries.insert(host.clone(), state);
     let entries = u32::try_from(soft.live_entries(now)).unwrap_or(u32::MAX);
     let others = soft.work_except(Some(&host));
     let others = others.iter().map(|(name, work)| use_to_wire(name, *work));
--- a/crates/acacia-control/src/serving/session.rs
+++ b/crates/acacia-control/src/serving/session.rs
@@ -17,7 +17,7 @@
 use tokio::time::Instant;
 
 use super::hub::ServingHub;
-use super::renewals::{SentNews, answer_renewal};
+use super::renewals::{SentState, answer_renewal};
 
 /// Interval of keepalive messages. If none arrives, the other side knows that the connection is dead.
 pub(super) const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(500);
@@ -50,7 +50,7 @@
     hello: &ServingHello,
     frames: mpsc::Sender<QueuedFrame>,
 ) -> std::io::Result<()> {
-    let mut sent = SentNews::default();
+    let mut sent = SentState::default();
     while let Some(frame) = reader.next().await? {
         let Frame::Serving(ServingFrame { body: Some(body) }) = frame else {
             return Err(std::io::ErrorKind::InvalidData.into());
