--- a/crates/acacia-control/src/serving/observer.rs
+++ b/crates/acacia-control/src/serving/observer.rs
@@ -23,33 +23,33 @@
 /// Time for which the kernel retries to deliver data to a replica (`TCP_USER_TIMEOUT`).
 const USER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time without a received byte after which the connection counts as lost: three missed keepalives.
-const SILENCE: Duration = KEEPALIVE_INTERVAL.saturating_mul(3);
+const SILENCE_LIMIT: Duration = KEEPALIVE_INTERVAL.saturating_mul(3);
 /// Delay before a new connection attempt.
-const RECONNECT_PAUSE: Duration = Duration::from_millis(200);
+const RECONNECT_DELAY: Duration = Duration::from_millis(200);
 
 /// Keeps a session open with every other voter until `stop` is cancelled.
 pub(super) async fn observe_replicas(hub: Arc<ServingHub>, stop: CancellationToken) {
     let mut status = hub.group.status();
     let mut sessions: BTreeMap<String, JoinHandle<()>> = BTreeMap::new();
     loop {
-        let wanted = {
+        let addresses = {
             let status = status.borrow_and_update();
             let own = status.replica;
             let others = status.members.rows().filter(|(id, row)| Some(*id) != own && row.voter);
             others.map(|(_, row)| row.address.clone()).collect::<Vec<_>>()
         };
         sessions.retain(|address, session| {
-            let keep = wanted.contains(address);
+            let keep = addresses.contains(address);
             if !keep {
                 session.abort();
             }
             keep
         });
-        for address in wanted {
+        for address in addresses {
             let hub = Arc::clone(&hub);
             sessions
                 .entry(address.clone())
-                .or_insert_with(|| tokio::spawn(keep_session(hub, address)));
+                .or_insert_with(|| tokio::spawn(maintain_session(hub, address)));
         }
         tokio::select! {
             () = stop.cancelled() => break,
@@ -61,17 +61,17 @@
     }
 }
 
-async fn keep_session(hub: Arc<ServingHub>, address: String) {
+async fn maintain_session(hub: Arc<ServingHub>, address: String) {
     loop {
-        if let Err(error) = use_session(&hub, &address).await {
+        if let Err(error) = run_session(&hub, &address).await {
             slog::debug!(hub.log, "session with a replica failed"; "event" => event::CONNECTION_FAILED,
                 "address" => &address, "error" => %error);
         }
-        tokio::time::sleep(RECONNECT_PAUSE).await;
+        tokio::time::sleep(RECONNECT_DELAY).await;
     }
 }
 
-async fn use_session(hub: &ServingHub, address: &str) -> std::io::Result<()> {
+async fn run_session(hub: &ServingHub, address: &str) -> std::io::Result<()> {
     let stream = connect_within(address, CONNECT_TIMEOUT, USER_TIMEOUT).await?;
     let (mut reader, mut writer) = split_frames(stream);
     let hello = ServingHello {
@@ -82,7 +82,7 @@
         takes_deltas: false,
     };
     writer.send(Frame::ServingHello(hello)).await?;
-    while let Some(frame) = reader.next_within(SILENCE).await? {
+    while let Some(frame) = reader.next_within(SILENCE_LIMIT).await? {
         let Frame::Serving(ServingFrame { body: Some(body) }) = frame else {
             return Err(std::io::ErrorKind::InvalidData.into());
         };
