--- a/crates/acacia-control/src/serving/peers.rs
+++ b/crates/acacia-control/src/serving/peers.rs
@@ -18,7 +18,7 @@
 use crate::peer_listener::serve_replica;
 
 /// Delay before the next attempt after accepting a connection has failed.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Time limit for the first frame of a connection, which says what kind of peer it is.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time for which the kernel retries to deliver data to a peer (`TCP_USER_TIMEOUT`).
@@ -46,7 +46,7 @@
                     }
                 });
             }
-            Err(_refused) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_refused) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
@@ -74,20 +74,23 @@
         replica: (request.replica != 0).then_some(ReplicaId(request.replica)),
     };
     let group = hub.group.group();
-    let open = JoinReply {
+    let no_decision = JoinReply {
         group,
         ..JoinReply::default()
     };
     let reply = match hub.group.join(call).await {
         JoinAnswer::Member(replica) => JoinReply {
             replica: replica.0,
-            ..open
+            ..no_decision
         },
-        JoinAnswer::Removed => JoinReply { removed: true, ..open },
-        JoinAnswer::Open => open,
+        JoinAnswer::Removed => JoinReply {
+            removed: true,
+            ..no_decision
+        },
+        JoinAnswer::Open => no_decision,
         JoinAnswer::Elsewhere(elsewhere) => JoinReply {
             leader_address: elsewhere.leader_address,
-            ..open
+            ..no_decision
         },
     };
     writer.send(Frame::JoinReply(reply)).await
