--- a/crates/acacia-control/src/serving/founding.rs
+++ b/crates/acacia-control/src/serving/founding.rs
@@ -23,13 +23,13 @@
 use crate::storage::{DataFolder, FolderIdentity};
 
 /// Pause between two rounds of requests to be admitted.
-const ASK_INTERVAL: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Time limit for the answer of one replica.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
 /// Number of rounds of requests between two log messages.
-const LOG_EVERY: u32 = 50;
+const ROUNDS_PER_LOG: u32 = 50;
 /// Smallest random disk number. The disks of the seeds that create the group are numbered from 1, below this.
-const FIRST_DRAWN_DISK: u64 = 1 << 16;
+const MIN_RANDOM_DISK: u64 = 1 << 16;
 
 /// Control addresses of the seeds, which may change while the process runs.
 pub(super) type SeedList = watch::Receiver<Vec<SocketAddr>>;
@@ -42,7 +42,7 @@
 
 /// Returns the identity stored in the folder. An empty folder is first initialised: on a seed that creates the group,
 /// with the initial members, and on any other host with a random disk number and no replica.
-pub(super) fn open_identity(
+pub(super) fn load_or_create_identity(
     folder: &mut DataFolder,
     settings: &ServingControlSettings,
 ) -> anyhow::Result<FolderIdentity> {
@@ -52,41 +52,41 @@
     let mut peers = peer_addresses(settings, &settings.seed_addresses);
     peers.sort_unstable();
     peers.dedup();
-    let place = peers.iter().position(|peer| *peer == settings.peer_address);
-    if let Some(place) = place.filter(|_| settings.found_group) {
-        return found(folder, &peers, place);
+    let index = peers.iter().position(|peer| *peer == settings.peer_address);
+    if let Some(index) = index.filter(|_| settings.found_group) {
+        return create_group(folder, &peers, index);
     }
     let identity = FolderIdentity {
         group: 0,
-        disk: DiskId(random_number()?.max(FIRST_DRAWN_DISK)),
+        disk: DiskId(random_number()?.max(MIN_RANDOM_DISK)),
         replica: None,
     };
     folder.store_identity(&identity)?;
     Ok(identity)
 }
 
-fn found(folder: &mut DataFolder, peers: &[SocketAddr], place: usize) -> anyhow::Result<FolderIdentity> {
-    let number = |place: usize| place as u64 + 1;
-    let rows = peers.iter().enumerate().map(|(place, peer)| {
+fn create_group(folder: &mut DataFolder, peers: &[SocketAddr], index: usize) -> anyhow::Result<FolderIdentity> {
+    let id_of = |index: usize| index as u64 + 1;
+    let rows = peers.iter().enumerate().map(|(index, peer)| {
         let row = MemberRow {
             host: peer.ip().to_string().as_str().into(),
             address: peer.to_string(),
-            disk: Some(DiskId(number(place))),
+            disk: Some(DiskId(id_of(index))),
             voter: true,
         };
-        (ReplicaId(number(place)), row)
+        (ReplicaId(id_of(index)), row)
     });
-    let members = MemberSet::new(rows, ReplicaId(number(peers.len() - 1)));
+    let members = MemberSet::new(rows, ReplicaId(id_of(peers.len() - 1)));
     let text: Vec<String> = peers.iter().map(ToString::to_string).collect();
     let identity = FolderIdentity {
         group: rendezvous::hash(text.join(",").as_bytes()).max(1),
-        disk: DiskId(number(place)),
+        disk: DiskId(id_of(index)),
         replica: None,
     };
     folder.store_identity(&identity)?;
     folder.initialise(HardState::founding(), &ReplicaSnapshot::founding(members))?;
     let identity = FolderIdentity {
-        replica: Some(ReplicaId(number(place))),
+        replica: Some(ReplicaId(id_of(index))),
         ..identity
     };
     folder.store_identity(&identity)?;
@@ -94,7 +94,7 @@
 }
 
 /// Asks to be admitted until a replica grants it, and returns the group and the new replica.
-pub(super) async fn await_place(
+pub(super) async fn await_admission(
     settings: &ServingControlSettings,
     seeds: &SeedList,
     disk: DiskId,
@@ -102,17 +102,17 @@
 ) -> (u64, ReplicaId) {
     for round in 0_u32.. {
         let peers = peer_addresses(settings, &seeds.borrow());
-        let reply = ask_all(settings, peers, disk, None).await;
+        let reply = send_join_requests(settings, peers, disk, None).await;
         if let Some(reply) = &reply
             && reply.replica != 0
         {
             return (reply.group, ReplicaId(reply.replica));
         }
-        if round % LOG_EVERY == 0 {
+        if round % ROUNDS_PER_LOG == 0 {
             slog::info!(log, "waiting to be admitted"; "event" => event::IDENTITY_AWAITED,
                 "seeds" => ?*seeds.borrow(), "reason" => ?reply);
         }
-        tokio::time::sleep(ASK_INTERVAL).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
     unreachable!("the rounds have no end")
 }
@@ -129,13 +129,13 @@
 ) -> bool {
     let mut peers = peer_addresses(settings, &seeds.borrow());
     peers.extend(members);
-    let reply = ask_all(settings, peers, disk, Some(replica)).await;
+    let reply = send_join_requests(settings, peers, disk, Some(replica)).await;
     reply.is_some_and(|reply| reply.removed)
 }
 
 /// Sends a join request to each peer, and to the leader that it names, until one names a replica or reports a removal.
 /// Otherwise returns the last reply, if there was any.
-async fn ask_all(
+async fn send_join_requests(
     settings: &ServingControlSettings,
     peers: Vec<SocketAddr>,
     disk: DiskId,
@@ -147,23 +147,23 @@
         disk: disk.0,
         replica: replica.map_or(0, |replica| replica.0),
     };
-    let mut open = None;
+    let mut last_reply = None;
     for peer in peers.into_iter().filter(|peer| *peer != settings.peer_address) {
-        let mut reply = ask(peer, &request).await.ok();
+        let mut reply = send_join_request(peer, &request).await.ok();
         if let Some(leader) = reply.as_ref().and_then(|reply| reply.leader_address.parse().ok()) {
-            reply = ask(leader, &request).await.ok();
+            reply = send_join_request(leader, &request).await.ok();
         }
         match reply {
             Some(reply) if reply.replica != 0 || reply.removed => return Some(reply),
-            Some(reply) => open = Some(reply),
+            Some(reply) => last_reply = Some(reply),
             None => {}
         }
     }
-    open
+    last_reply
 }
 
-async fn ask(address: SocketAddr, request: &JoinRequest) -> std::io::Result<JoinReply> {
-    let asked = async {
+async fn send_join_request(address: SocketAddr, request: &JoinRequest) -> std::io::Result<JoinReply> {
+    let exchange = async {
         let (mut reader, mut writer) = split_frames(TcpStream::connect(address).await?);
         writer.send(Frame::JoinRequest(request.clone())).await?;
         match reader.next().await? {
@@ -171,5 +171,5 @@
             _ => Err(std::io::ErrorKind::InvalidData.into()),
         }
     };
-    tokio::time::timeout(ANSWER_TIMEOUT, asked).await?
+    tokio::time::timeout(ANSWER_TIMEOUT, exchange).await?
 }
--- a/crates/acacia-control/src/serving/start.rs
+++ b/crates/acacia-control/src/serving/start.rs
@@ -22,7 +22,7 @@
 use super::codec::{ControlCodec, PlatformCodec};
 use super::control_http;
 use super::duties::run_duties;
-use super::founding::{SeedList, await_place, open_identity, was_removed};
+use super::founding::{SeedList, await_admission, load_or_create_identity, was_removed};
 use super::hub::ServingHub;
 use super::observer::observe_replicas;
 use super::peers::serve_peers;
@@ -58,7 +58,7 @@
     slog::info!(log, "control started"; "event" => event::STARTED, "domain" => &settings.failure_domain,
         "peers" => %settings.peer_address, "control" => %settings.control_address,
         "seeds" => ?settings.seed_addresses, "founds" => settings.found_group);
-    let identity = open_identity(&mut folder, &settings)?;
+    let identity = load_or_create_identity(&mut folder, &settings)?;
     let Some(identity) = take_place(
         &mut folder,
         identity,
@@ -106,7 +106,7 @@
     }
     let (group, replica) = tokio::select! {
         () = stop.cancelled() => return Ok(None),
-        place = await_place(settings, seeds, identity.disk, log) => place,
+        place = await_admission(settings, seeds, identity.disk, log) => place,
         // Peers and callers that connect in the meantime see at once that this process cannot serve, and try another.
         () = refuse_all(peers) => return Ok(None),
         () = refuse_all(control) => return Ok(None),
