--- a/crates/acacia-control/src/serving/start.rs
+++ b/crates/acacia-control/src/serving/start.rs
@@ -33,9 +33,9 @@
 use crate::storage::{DataFolder, FolderIdentity, forget_replica};
 
 /// Time without a leader after which a replica asks whether it still belongs to the group.
-const LONELY_TIME: Duration = Duration::from_secs(2);
+const NO_LEADER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Interval at which endpoints that have not reported for a long time are removed from the registry.
-const TIDY_INTERVAL: Duration = Duration::from_secs(5);
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Runs a control process until `stop` is cancelled.
 ///
@@ -59,7 +59,7 @@
         "peers" => %settings.peer_address, "control" => %settings.control_address,
         "seeds" => ?settings.seed_addresses, "founds" => settings.found_group);
     let identity = load_or_create_identity(&mut folder, &settings)?;
-    let Some(identity) = take_place(
+    let Some(identity) = ensure_admitted(
         &mut folder,
         identity,
         &settings,
@@ -73,26 +73,26 @@
         return Ok(());
     };
     let (hub, driver) = open_group(settings, folder, identity, codec, platform, &log)?;
-    let driving = spawn_driver(driver, stop.clone(), log.clone());
+    let driver_task = spawn_driver(driver, stop.clone(), log.clone());
     let tasks = spawn_tasks(&hub, peers, control, metrics, &stop, page);
     let removal = watch_removal(&hub, &seeds, identity);
     let outcome = tokio::select! {
         () = stop.cancelled() => Ok(()),
-        () = removal => forget_group(&hub),
+        () = removal => clear_removed_replica(&hub),
     };
     slog::info!(log, "control stopping"; "event" => event::STOPPING);
     stop.cancel();
     tasks.close();
     tasks.wait().await;
     hub.group.input(GroupInput::Stop);
-    let ended = driving.await.context("the driver thread failed")?;
+    let ended = driver_task.await.context("the driver thread failed")?;
     slog::info!(log, "control stopped"; "event" => event::STOPPED);
     outcome.and(ended)
 }
 
 /// Returns the identity of this replica, after waiting to be admitted to the group if the folder has none. Returns
 /// `None` if `stop` is cancelled first.
-async fn take_place(
+async fn ensure_admitted(
     folder: &mut DataFolder,
     identity: FolderIdentity,
     settings: &ServingControlSettings,
@@ -106,10 +106,10 @@
     }
     let (group, replica) = tokio::select! {
         () = stop.cancelled() => return Ok(None),
-        place = await_admission(settings, seeds, identity.disk, log) => place,
+        admission = await_admission(settings, seeds, identity.disk, log) => admission,
         // Peers and callers that connect in the meantime see at once that this process cannot serve, and try another.
-        () = refuse_all(peers) => return Ok(None),
-        () = refuse_all(control) => return Ok(None),
+        () = refuse_connections(peers) => return Ok(None),
+        () = refuse_connections(control) => return Ok(None),
     };
     let identity = FolderIdentity {
         group,
@@ -123,7 +123,7 @@
     Ok(Some(identity))
 }
 
-async fn refuse_all(listener: &TcpListener) {
+async fn refuse_connections(listener: &TcpListener) {
     loop {
         if let Ok((stream, _)) = listener.accept().await {
             drop(stream);
@@ -154,7 +154,7 @@
         inputs: receiver,
         links: PeerLinks::new(Handle::current(), hello),
         log: log.clone(),
-        policy: policy_for(settings.tolerated_losses),
+        policy: quorum_policy(settings.tolerated_losses),
     };
     let driver = GroupDriver::open(folder, parts, boot_now(), random_number()?)?;
     let group = GroupHandle::new(inputs, shared, identity.group);
@@ -164,15 +164,15 @@
 
 /// Minimum number of voters if there are enough hosts, even if fewer losses have to be tolerated: a failure domain may
 /// be lost together with its two hosts.
-const LEAST_VOTERS: usize = 5;
+const MIN_VOTERS: usize = 5;
 
 /// Returns a policy that stores each log entry on one disk more than may be lost, and has enough voters that a majority
 /// survives the losses.
-const fn policy_for(tolerated_losses: usize) -> QuorumPolicy {
+const fn quorum_policy(tolerated_losses: usize) -> QuorumPolicy {
     let needed = 2 * tolerated_losses + 1;
     QuorumPolicy {
         min_copies: tolerated_losses + 1,
-        max_voters: Some(if needed > LEAST_VOTERS { needed } else { LEAST_VOTERS }),
+        max_voters: Some(if needed > MIN_VOTERS { needed } else { MIN_VOTERS }),
     }
 }
 
@@ -188,17 +188,17 @@
     tasks.spawn(serve_peers(peers, Arc::clone(hub), stop.clone()));
     tasks.spawn(observe_replicas(Arc::clone(hub), stop.clone()));
     tasks.spawn(run_duties(Arc::clone(hub), stop.clone()));
-    tasks.spawn(tidy(Arc::clone(hub), stop.clone()));
-    let (keeping, stopping) = (Arc::clone(hub), stop.clone());
+    tasks.spawn(forget_silent_endpoints(Arc::clone(hub), stop.clone()));
+    let (cache_hub, cache_stop) = (Arc::clone(hub), stop.clone());
     tasks.spawn(async move {
-        stopping.run_until_cancelled(keeping.cache_recent_configs()).await;
+        cache_stop.run_until_cancelled(cache_hub.cache_recent_configs()).await;
     });
-    let answering = Arc::clone(hub);
+    let http_hub = Arc::clone(hub);
     tasks.spawn(serve_http(
         control,
         ServerBounds::default(),
         stop.clone(),
-        move |request| control_http::answer(Arc::clone(&answering), request),
+        move |request| control_http::answer(Arc::clone(&http_hub), request),
     ));
     let status = hub.group.status();
     let is_ready = move || status.borrow().leader.is_some();
@@ -206,11 +206,11 @@
     tasks
 }
 
-async fn tidy(hub: Arc<ServingHub>, stop: CancellationToken) {
+async fn forget_silent_endpoints(hub: Arc<ServingHub>, stop: CancellationToken) {
     loop {
         tokio::select! {
             () = stop.cancelled() => return,
-            () = tokio::time::sleep(TIDY_INTERVAL) => hub.soft_state().registry.forget_silent(boot_now()),
+            () = tokio::time::sleep(CLEANUP_INTERVAL) => hub.soft_state().registry.forget_silent(boot_now()),
         }
     }
 }
@@ -222,17 +222,17 @@
 async fn watch_removal(hub: &ServingHub, seeds: &SeedList, identity: FolderIdentity) {
     let mut status = hub.group.status();
     loop {
-        let lonely = async {
+        let leader_known = async {
             // An error means that the driver thread has ended. The process then stops for that reason.
             let _ended = status.wait_for(|status| status.leader.is_some()).await;
         };
-        if tokio::time::timeout(LONELY_TIME, lonely).await.is_err()
+        if tokio::time::timeout(NO_LEADER_TIMEOUT, leader_known).await.is_err()
             && let Some(replica) = identity.replica
             && was_removed(&hub.settings, seeds, member_addresses(hub), identity.disk, replica).await
         {
             return;
         }
-        tokio::time::sleep(LONELY_TIME).await;
+        tokio::time::sleep(NO_LEADER_TIMEOUT).await;
     }
 }
 
@@ -244,7 +244,7 @@
 }
 
 /// Clears the data folder of a replica that the group has removed, so that the next start asks to be admitted again.
-fn forget_group(hub: &ServingHub) -> anyhow::Result<()> {
+fn clear_removed_replica(hub: &ServingHub) -> anyhow::Result<()> {
     slog::warn!(hub.log, "removed from the group"; "event" => event::IDENTITY_REVOKED);
     forget_replica(&hub.settings.data_folder, DiskId(random_number()?))?;
     anyhow::bail!("the group has removed this replica; the next start asks to be admitted as a new one")
