--- a/crates/acacia-control/src/serving/config_cache.rs
+++ b/crates/acacia-control/src/serving/config_cache.rs
@@ -1,4 +1,4 @@
-//! The configurations that this process has seen lately, and what turns one into another.
+//! Cache of recent configurations and of the deltas between them.
 
 use std::collections::VecDeque;
 
@@ -6,35 +6,38 @@
 use acaciabay::core::serving::config_transfer::{ConfigDocument, RecentConfigs};
 use acaciabay::util::byte_delta::ByteDelta;
 
-/// How many deltas between configurations are kept: entries are behind by one change, a few of them by more.
-const KNOWN_DELTAS: usize = 8;
+/// Maximum number of cached deltas. Most entries are one change behind, and a few of them more.
+const MAX_DELTAS: usize = 8;
 
-/// What turns one configuration into a later one.
+/// The delta from one configuration to a later one.
 #[derive(Debug)]
-struct KnownDelta {
+struct CachedDelta {
     base: ConfigNumber,
     target: ConfigNumber,
     delta: ByteDelta,
 }
 
-/// What all sessions need to bring their entries up to date.
+/// Configurations and deltas with which all sessions update their entries.
 #[derive(Debug, Default)]
 pub(super) struct ConfigCache {
     pub(super) recent: RecentConfigs,
-    deltas: VecDeque<KnownDelta>,
+    deltas: VecDeque<CachedDelta>,
 }
 
 impl ConfigCache {
-    /// Returns what turns one configuration into another. All entries need the same deltas, so each is made once.
+    /// Returns the delta from `base` to `target`. All sessions need the same deltas, so each is computed only once.
     pub(super) fn delta_between(&mut self, base: &ConfigDocument, target: &ConfigDocument) -> ByteDelta {
-        let wanted = (base.number, target.number);
-        let known = self.deltas.iter().find(|known| (known.base, known.target) == wanted);
-        if let Some(known) = known {
-            return known.delta.clone();
+        let numbers = (base.number, target.number);
+        let cached = self
+            .deltas
+            .iter()
+            .find(|cached| (cached.base, cached.target) == numbers);
+        if let Some(cached) = cached {
+            return cached.delta.clone();
         }
         let delta = ByteDelta::between(&base.document, &target.document);
-        self.deltas.truncate(KNOWN_DELTAS - 1);
-        self.deltas.push_front(KnownDelta {
+        self.deltas.truncate(MAX_DELTAS - 1);
+        self.deltas.push_front(CachedDelta {
             base: base.number,
             target: target.number,
             delta: delta.clone(),
--- a/crates/acacia-control/src/serving/observer.rs
+++ b/crates/acacia-control/src/serving/observer.rs
@@ -1,7 +1,8 @@
-//! Listens to the other replicas for what endpoints tell them.
+//! Receives the endpoint reports that the other replicas got.
 //!
-//! An endpoint reports to whichever replica it picks. That replica tells all sessions; this one listens like an entry
-//! does, so that the leader knows all endpoints, and a replica can give a new session all of them at once.
+//! An endpoint may report to any replica, which broadcasts the report to all its sessions. Each replica therefore keeps
+//! a session with every other voter, as entries do. So the leader knows all endpoints, and every replica can send all
+//! of them to a new session at once.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,38 +18,38 @@
 use tokio_util::sync::CancellationToken;
 
 use super::hub::ServingHub;
-use super::session::ALIVE_INTERVAL;
+use super::session::KEEPALIVE_INTERVAL;
 
-/// How long the kernel may go on trying to deliver.
+/// Time for which the kernel retries to deliver data to a replica (`TCP_USER_TIMEOUT`).
 const USER_TIMEOUT: Duration = Duration::from_secs(2);
-/// After how long without a byte the connection counts as lost: three missed signs of life.
-const SILENCE: Duration = ALIVE_INTERVAL.saturating_mul(3);
-/// How long to wait before connecting again.
-const RECONNECT_PAUSE: Duration = Duration::from_millis(200);
+/// Time without a received byte after which the connection counts as lost: three missed keepalives.
+const SILENCE_LIMIT: Duration = KEEPALIVE_INTERVAL.saturating_mul(3);
+/// Delay before a new connection attempt.
+const RECONNECT_DELAY: Duration = Duration::from_millis(200);
 
-/// Keeps a session with every other voter until `stop` is cancelled.
+/// Keeps a session open with every other voter until `stop` is cancelled.
 pub(super) async fn observe_replicas(hub: Arc<ServingHub>, stop: CancellationToken) {
     let mut status = hub.group.status();
     let mut sessions: BTreeMap<String, JoinHandle<()>> = BTreeMap::new();
     loop {
-        let wanted = {
+        let addresses = {
             let status = status.borrow_and_update();
             let own = status.replica;
             let others = status.members.rows().filter(|(id, row)| Some(*id) != own && row.voter);
             others.map(|(_, row)| row.address.clone()).collect::<Vec<_>>()
         };
         sessions.retain(|address, session| {
-            let keep = wanted.contains(address);
+            let keep = addresses.contains(address);
             if !keep {
                 session.abort();
             }
             keep
         });
-        for address in wanted {
+        for address in addresses {
             let hub = Arc::clone(&hub);
             sessions
                 .entry(address.clone())
-                .or_insert_with(|| tokio::spawn(keep_session(hub, address)));
+                .or_insert_with(|| tokio::spawn(maintain_session(hub, address)));
         }
         tokio::select! {
             () = stop.cancelled() => break,
@@ -60,17 +61,17 @@
     }
 }
 
-async fn keep_session(hub: Arc<ServingHub>, address: String) {
+async fn maintain_session(hub: Arc<ServingHub>, address: String) {
     loop {
-        if let Err(error) = use_session(&hub, &address).await {
-            slog::debug!(hub.log, "replica cannot be heard"; "event" => event::CONNECTION_FAILED,
+        if let Err(error) = run_session(&hub, &address).await {
+            slog::debug!(hub.log, "session with a replica failed"; "event" => event::CONNECTION_FAILED,
                 "address" => &address, "error" => %error);
         }
-        tokio::time::sleep(RECONNECT_PAUSE).await;
+        tokio::time::sleep(RECONNECT_DELAY).await;
     }
 }
 
-async fn use_session(hub: &ServingHub, address: &str) -> std::io::Result<()> {
+async fn run_session(hub: &ServingHub, address: &str) -> std::io::Result<()> {
     let stream = connect_within(address, CONNECT_TIMEOUT, USER_TIMEOUT).await?;
     let (mut reader, mut writer) = split_frames(stream);
     let hello = ServingHello {
@@ -81,16 +82,16 @@
         takes_deltas: false,
     };
     writer.send(Frame::ServingHello(hello)).await?;
-    while let Some(frame) = reader.next_within(SILENCE).await? {
+    while let Some(frame) = reader.next_within(SILENCE_LIMIT).await? {
         let Frame::Serving(ServingFrame { body: Some(body) }) = frame else {
             return Err(std::io::ErrorKind::InvalidData.into());
         };
         let Body::News(news) = body else { continue };
         for row in &news.rows {
             match endpoint_from_wire(row) {
-                Ok((name, endpoint)) => hub.hear_report(&name, endpoint),
+                Ok((name, endpoint)) => hub.record_relayed_report(&name, endpoint),
                 Err(error) => {
-                    slog::warn!(hub.log, "malformed news of an endpoint"; "event" => event::MESSAGE_REFUSED,
+                    slog::warn!(hub.log, "malformed endpoint report"; "event" => event::MESSAGE_REFUSED,
                         "from" => address, "error" => %error);
                 }
             }
--- a/crates/acacia-control/src/serving/start.rs
+++ b/crates/acacia-control/src/serving/start.rs
@@ -1,4 +1,4 @@
-//! Starting a control process, and its end.
+//! Start and shutdown of a control process.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, mpsc};
@@ -22,7 +22,7 @@
 use super::codec::{ControlCodec, PlatformCodec};
 use super::control_http;
 use super::duties::run_duties;
-use super::founding::{SeedList, await_place, open_identity, was_removed};
+use super::founding::{SeedList, await_admission, load_or_create_identity, was_removed};
 use super::hub::ServingHub;
 use super::observer::observe_replicas;
 use super::peers::serve_peers;
@@ -32,16 +32,16 @@
 use crate::peer_links::PeerLinks;
 use crate::storage::{DataFolder, FolderIdentity, forget_replica};
 
-/// After how long without a leader a replica asks whether it still belongs to the group.
-const LONELY_TIME: Duration = Duration::from_secs(2);
-/// How often endpoints that were not heard of for long are forgotten.
-const TIDY_INTERVAL: Duration = Duration::from_secs(5);
+/// Time without a leader after which a replica asks whether it still belongs to the group.
+const NO_LEADER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval at which endpoints that have not reported for a long time are removed from the registry.
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Runs a control process until `stop` is cancelled.
 ///
 /// # Errors
 ///
-/// Fails when an address is taken, when the disk fails, or when the group has removed this replica.
+/// Fails if an address is in use, if the disk fails, or if the group has removed this replica.
 pub async fn start(
     settings: ServingControlSettings,
     codec: Arc<dyn ControlCodec>,
@@ -58,8 +58,8 @@
     slog::info!(log, "control started"; "event" => event::STARTED, "domain" => &settings.failure_domain,
         "peers" => %settings.peer_address, "control" => %settings.control_address,
         "seeds" => ?settings.seed_addresses, "founds" => settings.found_group);
-    let identity = open_identity(&mut folder, &settings)?;
-    let Some(identity) = take_place(
+    let identity = load_or_create_identity(&mut folder, &settings)?;
+    let Some(identity) = ensure_admitted(
         &mut folder,
         identity,
         &settings,
@@ -73,25 +73,26 @@
         return Ok(());
     };
     let (hub, driver) = open_group(settings, folder, identity, codec, platform, &log)?;
-    let driving = spawn_driver(driver, stop.clone(), log.clone());
+    let driver_task = spawn_driver(driver, stop.clone(), log.clone());
     let tasks = spawn_tasks(&hub, peers, control, metrics, &stop, page);
     let removal = watch_removal(&hub, &seeds, identity);
     let outcome = tokio::select! {
         () = stop.cancelled() => Ok(()),
-        () = removal => forget_group(&hub),
+        () = removal => clear_removed_replica(&hub),
     };
     slog::info!(log, "control stopping"; "event" => event::STOPPING);
     stop.cancel();
     tasks.close();
     tasks.wait().await;
     hub.group.input(GroupInput::Stop);
-    let ended = driving.await.context("the driving thread failed")?;
+    let ended = driver_task.await.context("the driver thread failed")?;
     slog::info!(log, "control stopped"; "event" => event::STOPPED);
     outcome.and(ended)
 }
 
-/// Waits for a place in the group where the folder has none; returns nothing when the process is to stop.
-async fn take_place(
+/// Returns the identity of this replica, after waiting to be admitted to the group if the folder has none. Returns
+/// `None` if `stop` is cancelled first.
+async fn ensure_admitted(
     folder: &mut DataFolder,
     identity: FolderIdentity,
     settings: &ServingControlSettings,
@@ -105,24 +106,24 @@
     }
     let (group, replica) = tokio::select! {
         () = stop.cancelled() => return Ok(None),
-        place = await_place(settings, seeds, identity.disk, log) => place,
-        // Whoever connects meanwhile learns at once that this process cannot help, and tries another.
-        () = refuse_all(peers) => return Ok(None),
-        () = refuse_all(control) => return Ok(None),
+        admission = await_admission(settings, seeds, identity.disk, log) => admission,
+        // Peers and callers that connect in the meantime see at once that this process cannot serve, and try another.
+        () = refuse_connections(peers) => return Ok(None),
+        () = refuse_connections(control) => return Ok(None),
     };
     let identity = FolderIdentity {
         group,
         replica: Some(replica),
         ..identity
     };
-    // The log comes before the identity that vouches for it.
+    // The identity is stored last, since it marks the log as initialised.
     folder.initialise(HardState::default(), &ReplicaSnapshot::default())?;
     folder.store_identity(&identity)?;
     slog::info!(log, "identity granted"; "event" => event::IDENTITY_GRANTED, "replica" => replica.0);
     Ok(Some(identity))
 }
 
-async fn refuse_all(listener: &TcpListener) {
+async fn refuse_connections(listener: &TcpListener) {
     loop {
         if let Ok((stream, _)) = listener.accept().await {
             drop(stream);
@@ -153,7 +154,7 @@
         inputs: receiver,
         links: PeerLinks::new(Handle::current(), hello),
         log: log.clone(),
-        policy: policy_for(settings.tolerated_losses),
+        policy: quorum_policy(settings.tolerated_losses),
     };
     let driver = GroupDriver::open(folder, parts, boot_now(), random_number()?)?;
     let group = GroupHandle::new(inputs, shared, identity.group);
@@ -161,16 +162,17 @@
     Ok((Arc::new(hub), driver))
 }
 
-/// The number of replicas that vote where there are so many hosts, even if fewer losses are to be borne: a whole failure
-/// domain may go with the two of its hosts.
-const LEAST_VOTERS: usize = 5;
+/// Minimum number of voters if there are enough hosts, even if fewer losses have to be tolerated: a failure domain may
+/// be lost together with its two hosts.
+const MIN_VOTERS: usize = 5;
 
-/// An entry is on one disk more than may be lost, and enough replicas vote that a majority outlives the losses.
-const fn policy_for(tolerated_losses: usize) -> QuorumPolicy {
+/// Returns a policy that stores each log entry on one disk more than may be lost, and has enough voters that a majority
+/// survives the losses.
+const fn quorum_policy(tolerated_losses: usize) -> QuorumPolicy {
     let needed = 2 * tolerated_losses + 1;
     QuorumPolicy {
         min_copies: tolerated_losses + 1,
-        max_voters: Some(if needed > LEAST_VOTERS { needed } else { LEAST_VOTERS }),
+        max_voters: Some(if needed > MIN_VOTERS { needed } else { MIN_VOTERS }),
     }
 }
 
@@ -186,17 +188,17 @@
     tasks.spawn(serve_peers(peers, Arc::clone(hub), stop.clone()));
     tasks.spawn(observe_replicas(Arc::clone(hub), stop.clone()));
     tasks.spawn(run_duties(Arc::clone(hub), stop.clone()));
-    tasks.spawn(tidy(Arc::clone(hub), stop.clone()));
-    let (keeping, stopping) = (Arc::clone(hub), stop.clone());
+    tasks.spawn(forget_silent_endpoints(Arc::clone(hub), stop.clone()));
+    let (cache_hub, cache_stop) = (Arc::clone(hub), stop.clone());
     tasks.spawn(async move {
-        stopping.run_until_cancelled(keeping.keep_recent_configs()).await;
+        cache_stop.run_until_cancelled(cache_hub.cache_recent_configs()).await;
     });
-    let answering = Arc::clone(hub);
+    let http_hub = Arc::clone(hub);
     tasks.spawn(serve_http(
         control,
         ServerBounds::default(),
         stop.clone(),
-        move |request| control_http::answer(Arc::clone(&answering), request),
+        move |request| control_http::answer(Arc::clone(&http_hub), request),
     ));
     let status = hub.group.status();
     let is_ready = move || status.borrow().leader.is_some();
@@ -204,33 +206,33 @@
     tasks
 }
 
-async fn tidy(hub: Arc<ServingHub>, stop: CancellationToken) {
+async fn forget_silent_endpoints(hub: Arc<ServingHub>, stop: CancellationToken) {
     loop {
         tokio::select! {
             () = stop.cancelled() => return,
-            () = tokio::time::sleep(TIDY_INTERVAL) => hub.soft().registry.forget_silent(boot_now()),
+            () = tokio::time::sleep(CLEANUP_INTERVAL) => hub.soft_state().registry.forget_silent(boot_now()),
         }
     }
 }
 
-/// Returns once the group says that this replica was removed.
+/// Returns once the group answers that this replica was removed.
 ///
-/// A replica that was frozen while another took its place hears of no leader any more and cannot know why. Without
-/// asking, its host would stay out of the group for good.
+/// A replica that was frozen while another one replaced it no longer hears from a leader and cannot know why. If it did
+/// not ask, its host would never return to the group.
 async fn watch_removal(hub: &ServingHub, seeds: &SeedList, identity: FolderIdentity) {
     let mut status = hub.group.status();
     loop {
-        let lonely = async {
-            // An error means that the driver has ended, which ends the process by another way.
+        let leader_known = async {
+            // An error means that the driver thread has ended. The process then stops for that reason.
             let _ended = status.wait_for(|status| status.leader.is_some()).await;
         };
-        if tokio::time::timeout(LONELY_TIME, lonely).await.is_err()
+        if tokio::time::timeout(NO_LEADER_TIMEOUT, leader_known).await.is_err()
             && let Some(replica) = identity.replica
             && was_removed(&hub.settings, seeds, member_addresses(hub), identity.disk, replica).await
         {
             return;
         }
-        tokio::time::sleep(LONELY_TIME).await;
+        tokio::time::sleep(NO_LEADER_TIMEOUT).await;
     }
 }
 
@@ -241,9 +243,9 @@
     addresses.collect()
 }
 
-/// Empties the folder of a replica that the group has removed, so that the next start asks for a new place.
-fn forget_group(hub: &ServingHub) -> anyhow::Result<()> {
+/// Clears the data folder of a replica that the group has removed, so that the next start asks to be admitted again.
+fn clear_removed_replica(hub: &ServingHub) -> anyhow::Result<()> {
     slog::warn!(hub.log, "removed from the group"; "event" => event::IDENTITY_REVOKED);
     forget_replica(&hub.settings.data_folder, DiskId(random_number()?))?;
-    anyhow::bail!("the group has removed this replica; the next start asks for a new place")
+    anyhow::bail!("the group has removed this replica; the next start asks to be admitted as a new one")
 }
