--- a/crates/acacia-control/src/driver/members.rs
+++ b/crates/acacia-control/src/driver/members.rs
@@ -1,4 +1,4 @@
-//! Hosts that ask for their place in the group, and voters that give theirs up.
+//! Membership changes: hosts that join the group, and voters that are replaced.
 
 use acacia_runtime::clock::boot_now;
 use acacia_runtime::event;
@@ -11,23 +11,25 @@
 use crate::group::{JoinAnswer, JoinCall};
 
 impl GroupDriver {
-    /// Binds a member to the data folder that its host has come with, or says why not.
+    /// Binds a member to the data folder of its host, or answers with the reason for a refusal.
+    ///
+    /// The reason is empty if this replica is not the leader.
     pub(super) fn identify(
         &mut self,
         host: &HostName,
         disk: DiskId,
         answer: oneshot::Sender<Result<ReplicaId, String>>,
     ) {
-        let found = self
+        let member = self
             .replica
             .members()
             .find_by_host(host)
             .map(|(id, row)| (id, row.disk));
-        let refusal = match found {
+        let refusal = match member {
             _ if self.replica.role() != ReplicaRole::Leader => String::new(),
             None => format!("host `{host}` is not a member; run `acacia members add`"),
             Some((id, Some(bound))) if bound == disk => {
-                let _gave_up = answer.send(Ok(id));
+                let _receiver_dropped = answer.send(Ok(id));
                 return;
             }
             Some((_, Some(_))) => {
@@ -35,26 +37,28 @@
             }
             Some((replica, None)) => match self.replica.change_members(MemberChange::Bind { replica, disk }) {
                 Ok((index, _)) => {
-                    // Answered once it is committed: before that, another leader may bind another folder.
-                    self.identifies.insert(index, (replica, answer));
+                    // The answer is sent once the change is committed. Before that, another leader could bind the
+                    // member to a different folder.
+                    self.pending_binds.insert(index, (replica, answer));
                     return;
                 }
-                Err(refusal) => describe_refusal(&refusal),
+                Err(refusal) => describe_change_error(&refusal),
             },
         };
-        let _gave_up = answer.send(Err(refusal));
+        let _receiver_dropped = answer.send(Err(refusal));
     }
 
-    /// Brings a host that asks for its place one step nearer to it; the host asks until it has it.
+    /// Answers a join request and proposes the next membership change that it needs; the host repeats the request until
+    /// it is a member.
     ///
-    /// A host whose folder is not the one that its member is bound to has lost its disk. Its member is removed first:
-    /// under its old number it would confirm entries that it has forgotten.
+    /// If the host's member is bound to a different folder, the host has lost its disk. That member is removed first,
+    /// because under its old id the host would acknowledge entries that it no longer has.
     pub(super) fn answer_join(&mut self, request: JoinCall) -> JoinAnswer {
         if !self.replica.may_act(boot_now()) {
-            return JoinAnswer::Elsewhere(self.not_leading());
+            return JoinAnswer::NotLeading(self.not_leading());
         }
         if self.replica.has_pending_change() {
-            return JoinAnswer::Open;
+            return JoinAnswer::Pending;
         }
         let JoinCall {
             host,
@@ -69,28 +73,30 @@
                 Some(_) | None => JoinAnswer::Removed,
             };
         }
-        let found = self
+        let member = self
             .replica
             .members()
             .find_by_host(&host)
             .map(|(id, row)| (id, row.disk));
-        let change = match found {
+        let change = match member {
             Some((id, Some(bound))) if bound == disk => return JoinAnswer::Member(id),
             Some((replica, _)) => MemberChange::Remove { replica },
             None => MemberChange::Admit { host, address, disk },
         };
         self.change_members(change, "a host asked for its place");
-        JoinAnswer::Open
+        JoinAnswer::Pending
     }
 
     /// Removes a voter that is silent while another member could take its place.
     pub(super) fn replace_silent_voter(&mut self) {
-        let Some(wanted) = self.policy.max_voters else { return };
+        let Some(max_voters) = self.policy.max_voters else {
+            return;
+        };
         if self.replica.has_pending_change() || !self.replica.may_act(boot_now()) {
             return;
         }
         let voters = self.replica.members().voters().count();
-        if let Some(replica) = plan_members(&self.replica.followers(), voters, wanted) {
+        if let Some(replica) = plan_members(&self.replica.followers(), voters, max_voters) {
             self.change_members(MemberChange::Remove { replica }, "silent while a substitute waits");
         }
     }
@@ -99,19 +105,19 @@
         let text = format!("{change:?}");
         match self.replica.change_members(change) {
             Ok(_) => {
-                slog::info!(self.log, "member change proposed"; "event" => event::MEMBERS_CHANGED,
+                slog::info!(self.log, "membership change proposed"; "event" => event::MEMBERS_CHANGED,
                     "change" => text, "reason" => reason);
             }
             Err(refusal) => {
-                slog::warn!(self.log, "member change refused"; "event" => event::MEMBERS_CHANGED,
-                    "change" => text, "reason" => describe_refusal(&refusal));
+                slog::warn!(self.log, "membership change refused"; "event" => event::MEMBERS_CHANGED,
+                    "change" => text, "reason" => describe_change_error(&refusal));
             }
         }
     }
 }
 
-/// Says why a change of the members was refused.
-pub(crate) fn describe_refusal(refusal: &MemberChangeError) -> String {
+/// Describes why a membership change was refused.
+pub(crate) fn describe_change_error(refusal: &MemberChangeError) -> String {
     match refusal {
         MemberChangeError::NotLeader(_) => "this replica does not lead".to_owned(),
         MemberChangeError::ChangePending => "the change before is not committed yet; try again".to_owned(),
--- a/crates/acacia-control/src/serving/control_http.rs
+++ b/crates/acacia-control/src/serving/control_http.rs
@@ -92,7 +92,7 @@
     if !findings.is_empty() {
         return refuse_config(hub, Some(config.number), &findings);
     }
-    if hub.group.confirm().await.is_err() {
+    if hub.group.confirm_leadership().await.is_err() {
         return elsewhere(hub);
     }
     let held = hub.group.read().serving.config_number;
@@ -133,7 +133,7 @@
 /// Returns the configuration in force. Only a leader that a quorum has confirmed answers, since any other replica might
 /// have an older configuration.
 async fn read_config(hub: &ServingHub) -> ControlAnswer {
-    if hub.group.confirm().await.is_err() {
+    if hub.group.confirm_leadership().await.is_err() {
         return elsewhere(hub);
     }
     let state = hub.group.read();
--- a/crates/acacia-control/src/serving/hub.rs
+++ b/crates/acacia-control/src/serving/hub.rs
@@ -268,7 +268,7 @@
 
     /// Adds each configuration that comes into force to the cache, until the process ends.
     pub(super) async fn cache_recent_configs(&self) {
-        let mut numbers = self.group.serving_numbers();
+        let mut numbers = self.group.serving_config_numbers();
         numbers.mark_changed();
         while numbers.changed().await.is_ok() {
             numbers.borrow_and_update();
--- a/crates/acacia-control/src/serving/peers.rs
+++ b/crates/acacia-control/src/serving/peers.rs
@@ -87,9 +87,9 @@
             removed: true,
             ..no_decision
         },
-        JoinAnswer::Open => no_decision,
-        JoinAnswer::Elsewhere(elsewhere) => JoinReply {
-            leader_address: elsewhere.leader_address,
+        JoinAnswer::Pending => no_decision,
+        JoinAnswer::NotLeading(not_leading) => JoinReply {
+            leader_address: not_leading.leader_address,
             ..no_decision
         },
     };
--- a/crates/acacia-control/src/serving/session.rs
+++ b/crates/acacia-control/src/serving/session.rs
@@ -136,7 +136,7 @@
 /// replica, and the number of the configuration.
 async fn send_updates(hub: &Arc<ServingHub>, frames: mpsc::Sender<QueuedFrame>) {
     let mut updates = hub.subscribe();
-    let mut numbers = hub.group.serving_numbers();
+    let mut numbers = hub.group.serving_config_numbers();
     let mut status = hub.group.status();
     let mut addresses = Vec::new();
     let mut was_leading = false;
--- a/crates/acacia-control/src/serving/start.rs
+++ b/crates/acacia-control/src/serving/start.rs
@@ -30,7 +30,7 @@
 use crate::driver::{DriverParts, GroupDriver, spawn_driver};
 use crate::group::{GroupHandle, GroupInput, GroupShared};
 use crate::peer_links::PeerLinks;
-use crate::storage::{DataFolder, FolderIdentity, forget_replica};
+use crate::storage::{DataFolder, FolderIdentity, reset_identity};
 
 /// Time without a leader after which a replica asks whether it still belongs to the group.
 const NO_LEADER_TIMEOUT: Duration = Duration::from_secs(2);
@@ -84,7 +84,7 @@
     stop.cancel();
     tasks.close();
     tasks.wait().await;
-    hub.group.input(GroupInput::Stop);
+    hub.group.send_input(GroupInput::Stop);
     let ended = driver_task.await.context("the driver thread failed")?;
     slog::info!(log, "control stopped"; "event" => event::STOPPED);
     outcome.and(ended)
@@ -246,6 +246,6 @@
 /// Clears the data folder of a replica that the group has removed, so that the next start asks to be admitted again.
 fn clear_removed_replica(hub: &ServingHub) -> anyhow::Result<()> {
     slog::warn!(hub.log, "removed from the group"; "event" => event::IDENTITY_REVOKED);
-    forget_replica(&hub.settings.data_folder, DiskId(random_number()?))?;
+    reset_identity(&hub.settings.data_folder, DiskId(random_number()?))?;
     anyhow::bail!("the group has removed this replica; the next start asks to be admitted as a new one")
 }
--- a/crates/acacia-control/src/storage/log_file.rs
+++ b/crates/acacia-control/src/storage/log_file.rs
@@ -1,4 +1,4 @@
-//! The log: one record for each synced write.
+//! Log file, with one record per synced write.
 
 use std::fs::{File, OpenOptions};
 use std::io::{Seek, SeekFrom, Write};
@@ -11,11 +11,11 @@
 use prost::Message;
 
 use super::data_folder::{read_file, replace_file};
-use super::record::{FILE_HEADER, ReadRecord, after_file_header, encode_record, read_record};
+use super::record::{FILE_HEADER_LEN, ReadRecord, encode_record, read_record, strip_file_header};
 
-const FILE: &str = "log";
+const FILE_NAME: &str = "log";
 
-/// What a log file held.
+/// Content of a log file.
 #[derive(Debug, Default)]
 pub(super) struct LogContent {
     pub(super) base: (LogIndex, Term),
@@ -24,7 +24,7 @@
     pub(super) torn_bytes: usize,
 }
 
-/// The open log file.
+/// Open log file.
 #[derive(Debug)]
 pub(super) struct LogFile {
     path: PathBuf,
@@ -32,9 +32,9 @@
 }
 
 impl LogFile {
-    /// Opens the log, reads it and cuts off an unfinished last write.
+    /// Opens the log, reads it and truncates an incomplete last write.
     pub(super) fn open(folder: &Path) -> anyhow::Result<(Self, LogContent)> {
-        let path = folder.join(FILE);
+        let path = folder.join(FILE_NAME);
         let bytes = read_file(&path)?.with_context(|| format!("`{}` is missing", path.display()))?;
         let (content, length) = parse(&bytes).with_context(|| format!("failed to read `{}`", path.display()))?;
         let opened = OpenOptions::new().write(true).open(&path);
@@ -42,14 +42,14 @@
         if content.torn_bytes > 0 {
             file.set_len(length as u64)
                 .and_then(|()| file.sync_all())
-                .context("failed to cut off a torn write")?;
+                .context("failed to truncate an incomplete write")?;
         }
         file.seek(SeekFrom::End(0))
-            .context("failed to go to the end of the log")?;
+            .context("failed to seek to the end of the log")?;
         Ok((Self { path, file }, content))
     }
 
-    /// Replaces the log by one that starts after a snapshot.
+    /// Replaces the log with one that contains `entries` and starts after the snapshot at `base`.
     pub(super) fn replace(
         folder: &Path,
         hard_state: HardState,
@@ -65,11 +65,11 @@
             first: 0,
             entries: entries.iter().map(entry_to_wire).collect(),
         };
-        replace_file(folder, FILE, &encode_record(&record.encode_to_vec())?)?;
+        replace_file(folder, FILE_NAME, &encode_record(&record.encode_to_vec())?)?;
         Ok(Self::open(folder)?.0)
     }
 
-    /// Adds a record and syncs it.
+    /// Appends a record and syncs it.
     pub(super) fn append(&mut self, hard_state: Option<HardState>, append: Option<&LogAppend>) -> anyhow::Result<()> {
         let record = replica::LogRecord {
             base: None,
@@ -87,33 +87,33 @@
     }
 }
 
-/// Reads all records; returns what they amount to and where the last whole one ends.
+/// Parses all records and returns their combined content and the offset at which the last complete record ends.
 fn parse(bytes: &[u8]) -> anyhow::Result<(LogContent, usize)> {
-    after_file_header(bytes)?;
+    strip_file_header(bytes)?;
     let mut content = LogContent::default();
-    let mut place = FILE_HEADER;
+    let mut offset = FILE_HEADER_LEN;
     loop {
-        match read_record(bytes, place) {
-            ReadRecord::Whole(payload, next) => {
+        match read_record(bytes, offset) {
+            ReadRecord::Complete(payload, next) => {
                 let record = replica::LogRecord::decode(payload)?;
-                take_record(&mut content, record).with_context(|| format!("in the record at byte {place}"))?;
-                place = next;
+                apply_record(&mut content, record).with_context(|| format!("in the record at byte {offset}"))?;
+                offset = next;
             }
             ReadRecord::End => break,
             ReadRecord::Torn => {
-                content.torn_bytes = bytes.len() - place;
+                content.torn_bytes = bytes.len() - offset;
                 break;
             }
-            ReadRecord::Damaged => bail!("record at byte {place} is damaged; repair the disk of this host"),
+            ReadRecord::Corrupt => bail!("record at byte {offset} is corrupt; repair the disk of this host"),
         }
     }
-    if place == FILE_HEADER {
-        bail!("log does not say where it starts");
+    if offset == FILE_HEADER_LEN {
+        bail!("log contains no complete record");
     }
-    Ok((content, place))
+    Ok((content, offset))
 }
 
-fn take_record(content: &mut LogContent, record: replica::LogRecord) -> anyhow::Result<()> {
+fn apply_record(content: &mut LogContent, record: replica::LogRecord) -> anyhow::Result<()> {
     if let Some(base) = record.base {
         content.base = (LogIndex(base.index), Term(base.term));
     }
--- a/crates/acacia-control/tests/storage.rs
+++ b/crates/acacia-control/tests/storage.rs
@@ -1,4 +1,4 @@
-//! The data folder after crashes, power losses and damage, against one plain list of entries.
+//! Tests of the data folder after crashes, power losses and disk corruption, and against a model of the log.
 
 use std::path::{Path, PathBuf};
 
@@ -44,7 +44,7 @@
 };
 
 fn new_folder() -> (TempDir, DataFolder) {
-    let folder = TempDir::new().expect("the system has a temporary folder");
+    let folder = TempDir::new().expect("a temporary folder can be created");
     let mut data = DataFolder::open(folder.path()).expect("an empty folder can be opened");
     data.initialise(HARD_STATE, &snapshot(1, 1))
         .expect("the folder can be written");
@@ -66,7 +66,9 @@
         .collect()
 }
 
-/// A folder with five synced writes, each of one entry longer than a disk sector; returns where each write ends.
+/// Returns a folder with five synced writes, the path of its log, and the offset at which each write ends.
+///
+/// Each write contains one entry that is longer than a disk sector.
 fn folder_with_five_writes() -> (TempDir, PathBuf, Vec<usize>) {
     let (folder, mut data) = new_folder();
     let log = folder.path().join("log");
@@ -74,69 +76,69 @@
     for index in 2..7 {
         data.append(None, Some(&append(index, vec![entry(index, 1, 700)])))
             .expect("the folder can be written");
-        ends.push(std::fs::read(&log).expect("the log is there").len());
+        ends.push(std::fs::read(&log).expect("the log exists").len());
     }
     (folder, log, ends)
 }
 
-/// Power is lost while the log is written, and only a part of the last write reaches the disk. The part was never
-/// confirmed to anyone; a replica that refused to start because of it would need a repair after every power loss.
+/// A power loss during a write leaves only a part of the last record on disk. The record was never acknowledged, so the
+/// part is truncated; a replica that refused to start would need a repair after every power loss.
 #[test]
-fn torn_last_write_is_cut_off_at_every_length() {
+fn torn_last_write_is_truncated_at_every_length() {
     let (folder, log, ends) = folder_with_five_writes();
-    let whole = std::fs::read(&log).expect("the log is there");
+    let whole = std::fs::read(&log).expect("the log exists");
 
     for length in ends[3] + 1..ends[4] {
         std::fs::write(&log, &whole[..length]).expect("the log can be written");
-        let stored = load(folder.path()).expect("a torn tail is no damage");
+        let stored = load(folder.path()).expect("a torn last write is not corruption");
         assert_eq!(indices(&stored), [2, 3, 4, 5], "cut at byte {length}");
         assert_eq!(stored.torn_bytes, length - ends[3]);
         assert_eq!(
-            std::fs::read(&log).expect("the log is there").len(),
+            std::fs::read(&log).expect("the log exists").len(),
             ends[3],
-            "the torn part stayed"
+            "the torn part was not truncated"
         );
     }
 }
 
-/// As above, on a file system that had already grown the file: what was not written reads as zeros.
+/// A power loss during a write leaves zeros at the end of the log if the file system had already extended the file.
 #[test]
-fn unwritten_sectors_at_the_end_are_cut_off() {
+fn unwritten_sectors_at_the_end_are_truncated() {
     let (folder, log, ends) = folder_with_five_writes();
-    let mut bytes = std::fs::read(&log).expect("the log is there");
+    let mut bytes = std::fs::read(&log).expect("the log exists");
     for byte in &mut bytes[ends[3]..] {
         *byte = 0;
     }
     std::fs::write(&log, &bytes).expect("the log can be written");
 
-    let stored = load(folder.path()).expect("unwritten sectors are no damage");
+    let stored = load(folder.path()).expect("unwritten sectors are not corruption");
 
     assert_eq!(indices(&stored), [2, 3, 4, 5]);
 }
 
-/// A disk returns one wrong bit. If the log were cut there as if it were torn, entries that this replica has confirmed
-/// would be gone without anyone knowing, and the group could lose what it accepted.
+/// A disk returns a wrong bit. If the log were truncated there as after a torn write, acknowledged entries would be
+/// lost without notice, and the group could lose committed entries.
 #[test]
-fn flipped_bit_anywhere_stops_the_replica_and_is_located() {
+fn flipped_bit_is_detected_and_located() {
     let (folder, log, ends) = folder_with_five_writes();
-    let whole = std::fs::read(&log).expect("the log is there");
+    let whole = std::fs::read(&log).expect("the log exists");
 
-    for place in (0..ends[4]).step_by(7) {
+    for offset in (0..ends[4]).step_by(7) {
         let mut bytes = whole.clone();
-        bytes[place] ^= 1 << (place % 8);
+        bytes[offset] ^= 1 << (offset % 8);
         std::fs::write(&log, &bytes).expect("the log can be written");
         let error = load(folder.path())
             .err()
-            .unwrap_or_else(|| panic!("the flipped bit at {place} went unnoticed"));
+            .unwrap_or_else(|| panic!("the flipped bit at {offset} was not detected"));
         let text = format!("{error:#}");
         assert!(text.contains("log"), "{text}");
     }
 }
 
 #[test]
-fn newer_format_is_refused() {
+fn newer_format_is_rejected() {
     let (folder, log, _) = folder_with_five_writes();
-    let mut bytes = std::fs::read(&log).expect("the log is there");
+    let mut bytes = std::fs::read(&log).expect("the log exists");
     bytes[4] = 9;
     std::fs::write(&log, &bytes).expect("the log can be written");
 
@@ -145,60 +147,61 @@
     assert!(format!("{error:#}").contains("format 9"), "{error:#}");
 }
 
-/// The process dies after the new snapshot has its name and before the log was replaced. Nothing may be missing after
-/// the snapshot.
+/// The process crashes after renaming the new snapshot and before replacing the log. The entries after the snapshot
+/// must remain.
 #[test]
-fn crash_between_snapshot_and_log_keeps_the_entries_after_the_snapshot() {
+fn crash_between_snapshot_and_log_keeps_later_entries() {
     let (folder, log, _) = folder_with_five_writes();
-    let old_log = std::fs::read(&log).expect("the log is there");
+    let old_log = std::fs::read(&log).expect("the log exists");
     {
         let mut data = DataFolder::open(folder.path()).expect("the folder can be opened");
         data.load().expect("the folder can be read");
         data.replace(HARD_STATE, &snapshot(4, 1), &[entry(5, 1, 700), entry(6, 1, 700)])
-            .expect("it can be replaced");
+            .expect("the snapshot and the log can be replaced");
     }
     std::fs::write(&log, old_log).expect("the log can be written");
 
-    let first = load(folder.path()).expect("the folder is whole");
-    let second = load(folder.path()).expect("the folder is whole");
+    let first = load(folder.path()).expect("the folder is valid");
+    let second = load(folder.path()).expect("the folder is valid");
 
     for stored in [first, second] {
         assert_eq!((stored.snapshot.index, indices(&stored)), (LogIndex(4), vec![5, 6]));
     }
 }
 
-/// A replica that was away gets a snapshot from the leader and dies before its old log was replaced. The old entries
-/// may be ones that the group never accepted, so none may stay behind the snapshot, and the log must go on after it.
+/// A replica that has fallen behind installs the leader's snapshot and crashes before replacing its old log. The old
+/// entries may never have been committed, so none may remain after the snapshot, and new entries must follow the
+/// snapshot.
 #[test]
-fn crash_while_a_leaders_snapshot_is_installed_leaves_no_old_entries() {
+fn crash_while_installing_snapshot_leaves_no_old_entries() {
     let (folder, log, _) = folder_with_five_writes();
-    let old_log = std::fs::read(&log).expect("the log is there");
+    let old_log = std::fs::read(&log).expect("the log exists");
     {
         let mut data = DataFolder::open(folder.path()).expect("the folder can be opened");
         data.load().expect("the folder can be read");
         data.replace(HARD_STATE, &snapshot(4, 3), &[])
-            .expect("it can be replaced");
+            .expect("the snapshot and the log can be replaced");
     }
     std::fs::write(&log, old_log).expect("the log can be written");
 
     let mut data = DataFolder::open(folder.path()).expect("the folder can be opened");
-    let stored = data.load().expect("the folder is whole");
+    let stored = data.load().expect("the folder is valid");
     data.append(None, Some(&append(5, vec![entry(5, 3, 10)])))
         .expect("the folder can be written");
     drop(data);
-    let after = load(folder.path()).expect("the folder is whole");
+    let after = load(folder.path()).expect("the folder is valid");
 
     assert_eq!(indices(&stored), Vec::<u64>::new());
     assert_eq!(indices(&after), [5]);
 }
 
-/// The process dies while it writes a new snapshot beside the old one.
+/// The process crashes while it writes the temporary file of a new snapshot.
 #[test]
-fn unfinished_new_snapshot_is_ignored() {
+fn incomplete_new_snapshot_is_ignored() {
     let (folder, _, _) = folder_with_five_writes();
     std::fs::write(folder.path().join("snapshot.new"), b"half").expect("the folder can be written");
 
-    let stored = load(folder.path()).expect("the old snapshot is whole");
+    let stored = load(folder.path()).expect("the old snapshot is valid");
 
     assert_eq!(
         (stored.snapshot.index, indices(&stored)),
@@ -206,10 +209,10 @@
     );
 }
 
-/// Someone deletes the identity and leaves the log. The folder must not pass for an empty one, which would be filled
-/// anew.
+/// The identity file is deleted while the log remains. The folder must not be treated as empty, since initialising it
+/// would discard the log.
 #[test]
-fn folder_without_identity_but_with_a_log_is_refused() {
+fn folder_with_log_but_without_identity_is_rejected() {
     let (folder, data) = new_folder();
     let identity = FolderIdentity {
         group: 7,
@@ -218,7 +221,7 @@
     };
     data.store_identity(&identity).expect("the folder can be written");
     let read = data.identity().expect("the identity can be read");
-    std::fs::remove_file(folder.path().join("identity")).expect("the file is there");
+    std::fs::remove_file(folder.path().join("identity")).expect("the file exists");
 
     let missing = data.identity();
 
@@ -226,49 +229,50 @@
     assert!(missing.is_err());
 }
 
-/// One thing that is done to a folder.
+/// Operation on a folder.
 #[derive(Clone, Debug)]
-enum Step {
-    Append { back: u64, count: u64 },
+enum Operation {
+    Append { overlap: u64, count: u64 },
     Vote { term: u64 },
     Compact { keep: u64 },
     Reopen,
 }
 
-fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let step = prop_oneof![
-        4 => (0..4_u64, 1..5_u64).prop_map(|(back, count)| Step::Append { back, count }),
-        2 => (1..100_u64).prop_map(|term| Step::Vote { term }),
-        1 => (0..4_u64).prop_map(|keep| Step::Compact { keep }),
-        2 => Just(Step::Reopen),
+fn operations() -> impl Strategy<Value = Vec<Operation>> {
+    let operation = prop_oneof![
+        4 => (0..4_u64, 1..5_u64).prop_map(|(overlap, count)| Operation::Append { overlap, count }),
+        2 => (1..100_u64).prop_map(|term| Operation::Vote { term }),
+        1 => (0..4_u64).prop_map(|keep| Operation::Compact { keep }),
+        2 => Just(Operation::Reopen),
     ];
-    prop::collection::vec(step, 1..30)
+    prop::collection::vec(operation, 1..30)
 }
 
-/// Whatever is written, replaced and read again, the folder holds what one plain list holds.
+/// After any sequence of appends, votes, compactions and reopenings, the folder has the same entries and hard state as
+/// a model that keeps them in a list.
 #[test]
-fn folder_holds_what_a_plain_list_holds() {
+fn folder_matches_a_list_model() {
     let random = TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]);
     let config = Config {
         cases: 200,
         failure_persistence: None,
         ..Config::default()
     };
-    let outcome = TestRunner::new_with_rng(config, random).run(&steps(), |steps| {
+    let outcome = TestRunner::new_with_rng(config, random).run(&operations(), |operations| {
         let (folder, mut data) = new_folder();
-        let (mut list, mut base, mut hard_state) = (Vec::<LogEntry>::new(), 1_u64, HARD_STATE);
-        for (number, step) in (1..).zip(steps) {
-            let end = list.last().map_or(base, |entry| entry.index.0);
-            match step {
-                Step::Append { back, count } => {
-                    let first = (end + 1).saturating_sub(back).max(base + 1);
+        let (mut model, mut base, mut hard_state) = (Vec::<LogEntry>::new(), 1_u64, HARD_STATE);
+        for (number, operation) in (1..).zip(operations) {
+            let end = model.last().map_or(base, |entry| entry.index.0);
+            match operation {
+                Operation::Append { overlap, count } => {
+                    let first = (end + 1).saturating_sub(overlap).max(base + 1);
                     let entries: Vec<LogEntry> = (first..first + count).map(|index| entry(index, number, 20)).collect();
-                    list.retain(|entry| entry.index.0 < first);
-                    list.extend(entries.clone());
+                    model.retain(|entry| entry.index.0 < first);
+                    model.extend(entries.clone());
                     data.append(None, Some(&append(first, entries)))
                         .expect("the folder can be written");
                 }
-                Step::Vote { term } => {
+                Operation::Vote { term } => {
                     hard_state = HardState {
                         term: Term(term),
                         vote: Some(ReplicaId(number)),
@@ -276,27 +280,27 @@
                     };
                     data.append(Some(hard_state), None).expect("the folder can be written");
                 }
-                Step::Compact { keep } => {
+                Operation::Compact { keep } => {
                     let index = end.saturating_sub(keep).max(base);
-                    let term = list
+                    let term = model
                         .iter()
                         .find(|entry| entry.index.0 == index)
                         .map_or(1, |entry| entry.term.0);
-                    list.retain(|entry| entry.index.0 > index);
+                    model.retain(|entry| entry.index.0 > index);
                     base = index;
-                    data.replace(hard_state, &snapshot(index, term), &list)
-                        .expect("it can be replaced");
+                    data.replace(hard_state, &snapshot(index, term), &model)
+                        .expect("the snapshot and the log can be replaced");
                 }
-                Step::Reopen => {
+                Operation::Reopen => {
                     drop(data);
                     data = DataFolder::open(folder.path()).expect("the folder can be opened");
-                    data.load().expect("the folder is whole");
+                    data.load().expect("the folder is valid");
                 }
             }
         }
         drop(data);
-        let stored = load(folder.path()).expect("the folder is whole");
-        prop_assert_eq!(stored.restored.log.entries(), list);
+        let stored = load(folder.path()).expect("the folder is valid");
+        prop_assert_eq!(stored.restored.log.entries(), model);
         prop_assert_eq!(stored.restored.hard_state, hard_state);
         Ok(())
     });
