--- a/crates/acacia-control/src/peer_links.rs
+++ b/crates/acacia-control/src/peer_links.rs
@@ -1,4 +1,4 @@
-//! Connections to the other replicas, one for each, kept open by a task.
+//! Outbound connections to the other replicas. A task per replica keeps its connection open.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,11 +13,12 @@
 use tokio::runtime::Handle;
 use tokio::sync::{Notify, mpsc};
 
-/// How many messages may wait for one replica. What does not fit is dropped; replication finds out and sends it again.
+/// Maximum number of messages queued for one replica. Messages beyond it are dropped; replication detects the loss and
+/// resends them.
 const WAITING_MESSAGES: usize = 1_024;
-/// How long the kernel may go on trying to deliver; a longer silence means that the connection is lost.
+/// `TCP_USER_TIMEOUT` of a connection: if sent data stays unacknowledged for longer, the connection is considered lost.
 const USER_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long to wait before connecting again.
+/// Delay between the end of a connection and the next attempt to connect.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
 
 /// The connections of one replica to the others.
@@ -32,7 +33,7 @@
 struct PeerLink {
     address: String,
     messages: mpsc::Sender<ReplicaMessage>,
-    /// Tells that the replica has called.
+    /// Notified when the replica has connected to this one.
     called: Arc<Notify>,
 }
 
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Opens links to new members and drops those of members that have left.
+    /// Opens links to new members and drops those of members that have left or have another address.
     pub(crate) fn follow_members(&mut self, members: &MemberSet, own: ReplicaId) {
         if let Some(row) = members.get(own) {
             self.hello.address.clone_from(&row.address);
@@ -57,13 +58,15 @@
         }
     }
 
-    /// Opens a link to a replica that has called, if there is none, and connects at once where it is not connected.
+    /// Opens a link to a replica that has connected to this one, unless there is a link already. If the link is not
+    /// connected, it starts a new connection attempt at once.
     ///
-    /// After all hosts lost power, an attempt to connect to one that was still down would be waited for until it times
-    /// out, and the votes that its replica asks for meanwhile would be lost: the group is without a leader for as long.
+    /// When all hosts start after a power loss, a connection attempt to a host that is still down lasts until its
+    /// timeout. Without the new attempt, votes that the host's replica requests during that time would be lost, and the
+    /// group would have no leader until the timeout.
     ///
-    /// A replica that has just been admitted, or was away while members changed, does not know the leader that calls
-    /// it. Without a link it could not answer, and the leader would never learn what it lacks.
+    /// A replica that has just been admitted, or was down while the members changed, does not know the leader that
+    /// connects to it. Without a link, it could not reply, and the leader would not learn which log entries it lacks.
     pub(crate) fn open_for_caller(&mut self, id: ReplicaId, address: &str) {
         if !address.is_empty() {
             self.open(id, address);
@@ -91,7 +94,7 @@
         );
     }
 
-    /// Sends messages, or drops those for which there is no room or no link.
+    /// Queues messages for sending. Drops a message if its receiver has no link or if the queue of that link is full.
     pub(crate) fn send<'message>(&self, messages: impl Iterator<Item = &'message ReplicaMessage>) {
         for message in messages {
             if let Some(link) = self.links.get(&message.to)
@@ -103,12 +106,13 @@
     }
 }
 
-/// Keeps a connection open until the link is dropped.
+/// Connects to a replica and sends it the queued messages, reconnecting as needed, until the link is dropped.
 async fn keep_link(address: String, hello: Hello, mut waiting: mpsc::Receiver<ReplicaMessage>, called: Arc<Notify>) {
     loop {
         let connected = tokio::select! {
             connected = connect_within(&address, CONNECT_TIMEOUT, USER_TIMEOUT) => connected,
-            // It can be reached now; what waits for it was meant for this moment.
+            // The replica is reachable now, so retry at once and keep the queued messages, such as a reply to its vote
+            // request.
             () = called.notified() => continue,
         };
         let ended = match connected {
@@ -118,7 +122,7 @@
         if ended.is_ok() {
             return;
         }
-        // What waited meanwhile is stale; replication sends anew what is missing.
+        // The queued messages are stale; replication resends what is missing.
         while waiting.try_recv().is_ok() {}
         if waiting.is_closed() {
             return;
@@ -130,7 +134,11 @@
     }
 }
 
-/// Sends until the link is dropped; fails when the connection does.
+/// Sends queued messages until the link is dropped.
+///
+/// # Errors
+///
+/// Fails if the connection fails.
 async fn use_connection(
     stream: TcpStream,
     hello: &Hello,
