--- a/crates/acacia-control/src/driver/mod.rs
+++ b/crates/acacia-control/src/driver/mod.rs
@@ -172,7 +172,7 @@
             },
             GroupInput::Confirm(answer) => self.confirms.push(answer),
             GroupInput::Message(message) => self.replica.step(boot_now(), message),
-            GroupInput::PeerConnected { replica, address } => self.links.open_for_caller(replica, &address),
+            GroupInput::PeerConnected { replica, address } => self.links.handle_peer_connected(replica, &address),
             GroupInput::ChangeMembers { change, answer } => {
                 let changed = self.replica.change_members(change).map(|(_, replica)| replica);
                 let _gave_up = answer.send(changed);
@@ -356,7 +356,7 @@
         };
         let before = self.shared.status.send_replace(status.clone());
         if before.members != status.members {
-            self.links.follow_members(&status.members, self.replica.id());
+            self.links.update_members(&status.members, self.replica.id());
         }
         self.log_leadership(&before, &status);
     }
--- a/crates/acacia-control/src/peer_links.rs
+++ b/crates/acacia-control/src/peer_links.rs
@@ -15,11 +15,11 @@
 
 /// Maximum number of messages queued for one replica. Messages beyond it are dropped; replication detects the loss and
 /// resends them.
-const WAITING_MESSAGES: usize = 1_024;
+const MESSAGE_QUEUE_CAPACITY: usize = 1_024;
 /// `TCP_USER_TIMEOUT` of a connection: if sent data stays unacknowledged for longer, the connection is considered lost.
 const USER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Delay between the end of a connection and the next attempt to connect.
-const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 
 /// The connections of one replica to the others.
 #[derive(Debug)]
@@ -34,7 +34,7 @@
     address: String,
     messages: mpsc::Sender<ReplicaMessage>,
     /// Notified when the replica has connected to this one.
-    called: Arc<Notify>,
+    peer_connected: Arc<Notify>,
 }
 
 impl PeerLinks {
@@ -47,7 +47,7 @@
     }
 
     /// Opens links to new members and drops those of members that have left or have another address.
-    pub(crate) fn follow_members(&mut self, members: &MemberSet, own: ReplicaId) {
+    pub(crate) fn update_members(&mut self, members: &MemberSet, own: ReplicaId) {
         if let Some(row) = members.get(own) {
             self.hello.address.clone_from(&row.address);
         }
@@ -67,12 +67,12 @@
     ///
     /// A replica that has just been admitted, or was down while the members changed, does not know the leader that
     /// connects to it. Without a link, it could not reply, and the leader would not learn which log entries it lacks.
-    pub(crate) fn open_for_caller(&mut self, id: ReplicaId, address: &str) {
+    pub(crate) fn handle_peer_connected(&mut self, id: ReplicaId, address: &str) {
         if !address.is_empty() {
             self.open(id, address);
         }
         if let Some(link) = self.links.get(&id) {
-            link.called.notify_one();
+            link.peer_connected.notify_one();
         }
     }
 
@@ -80,16 +80,21 @@
         if self.links.contains_key(&id) {
             return;
         }
-        let (messages, waiting) = mpsc::channel(WAITING_MESSAGES);
-        let called = Arc::new(Notify::new());
-        let link = keep_link(address.to_owned(), self.hello.clone(), waiting, Arc::clone(&called));
+        let (messages, queue) = mpsc::channel(MESSAGE_QUEUE_CAPACITY);
+        let peer_connected = Arc::new(Notify::new());
+        let link = run_link(
+            address.to_owned(),
+            self.hello.clone(),
+            queue,
+            Arc::clone(&peer_connected),
+        );
         self.runtime.spawn(link);
         self.links.insert(
             id,
             PeerLink {
                 address: address.to_owned(),
                 messages,
-                called,
+                peer_connected,
             },
         );
     }
@@ -107,29 +112,34 @@
 }
 
 /// Connects to a replica and sends it the queued messages, reconnecting as needed, until the link is dropped.
-async fn keep_link(address: String, hello: Hello, mut waiting: mpsc::Receiver<ReplicaMessage>, called: Arc<Notify>) {
+async fn run_link(
+    address: String,
+    hello: Hello,
+    mut queue: mpsc::Receiver<ReplicaMessage>,
+    peer_connected: Arc<Notify>,
+) {
     loop {
         let connected = tokio::select! {
             connected = connect_within(&address, CONNECT_TIMEOUT, USER_TIMEOUT) => connected,
             // The replica is reachable now, so retry at once and keep the queued messages, such as a reply to its vote
             // request.
-            () = called.notified() => continue,
+            () = peer_connected.notified() => continue,
         };
-        let ended = match connected {
-            Ok(stream) => use_connection(stream, &hello, &mut waiting).await,
+        let result = match connected {
+            Ok(stream) => send_queued(stream, &hello, &mut queue).await,
             Err(error) => Err(error),
         };
-        if ended.is_ok() {
+        if result.is_ok() {
             return;
         }
         // The queued messages are stale; replication resends what is missing.
-        while waiting.try_recv().is_ok() {}
-        if waiting.is_closed() {
+        while queue.try_recv().is_ok() {}
+        if queue.is_closed() {
             return;
         }
         tokio::select! {
-            () = tokio::time::sleep(RECONNECT_PAUSE) => {}
-            () = called.notified() => {}
+            () = tokio::time::sleep(RECONNECT_DELAY) => {}
+            () = peer_connected.notified() => {}
         }
     }
 }
@@ -139,16 +149,16 @@
 /// # Errors
 ///
 /// Fails if the connection fails.
-async fn use_connection(
+async fn send_queued(
     stream: TcpStream,
     hello: &Hello,
-    waiting: &mut mpsc::Receiver<ReplicaMessage>,
+    queue: &mut mpsc::Receiver<ReplicaMessage>,
 ) -> std::io::Result<()> {
     let (_reader, mut writer) = split_frames(stream);
     writer.send(Frame::Hello(hello.clone())).await?;
-    while let Some(message) = waiting.recv().await {
+    while let Some(message) = queue.recv().await {
         writer.feed(Frame::Message(message_to_wire(&message))).await?;
-        while let Ok(message) = waiting.try_recv() {
+        while let Ok(message) = queue.try_recv() {
             writer.feed(Frame::Message(message_to_wire(&message))).await?;
         }
         writer.flush().await?;
