--- a/crates/acacia-control/src/peer_listener.rs
+++ b/crates/acacia-control/src/peer_listener.rs
@@ -1,4 +1,4 @@
-//! The peer listener: other replicas, entries, and hosts that ask for their place in the group.
+//! The peer listener. It serves other replicas, entries, and hosts that request a replica identity.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,14 +17,14 @@
 use crate::entry_session::serve_entry;
 use crate::group::{GroupHandle, GroupInput};
 
-/// How long to wait after the system refused to accept a connection.
+/// Delay before the next `accept` after one has failed.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// How long a peer may take to say who it is.
+/// Maximum time until a new connection has sent its first frame.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long the kernel may go on trying to deliver to a peer.
+/// `TCP_USER_TIMEOUT` of a peer connection.
 const USER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Serves peers' connections until `stop` is cancelled.
+/// Accepts and serves connections from the configured peer hosts until `stop` is cancelled.
 pub(crate) async fn serve_peers(listener: TcpListener, control: Arc<Control>, stop: CancellationToken) {
     let sessions = TaskTracker::new();
     loop {
@@ -69,7 +69,12 @@
     }
 }
 
-/// Takes another replica's messages until its connection ends.
+/// Passes the messages of another replica to this one until its connection ends.
+///
+/// # Errors
+///
+/// Fails if the connection fails, if the replica belongs to another group, or if a message is malformed or names
+/// another sender.
 pub(crate) async fn serve_replica(
     mut reader: FrameReader<TcpStream>,
     group: &GroupHandle,
