--- a/crates/acacia-control/src/peer_listener.rs
+++ b/crates/acacia-control/src/peer_listener.rs
@@ -18,7 +18,7 @@
 use crate::group::{GroupHandle, GroupInput};
 
 /// Delay before the next `accept` after one has failed.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Maximum time until a new connection has sent its first frame.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
 /// `TCP_USER_TIMEOUT` of a peer connection.
@@ -37,11 +37,11 @@
                 let (control, stop) = (Arc::clone(&control), stop.clone());
                 sessions.spawn(async move {
                     let log = control.log.clone();
-                    let ended = tokio::select! {
+                    let result = tokio::select! {
                         () = stop.cancelled() => Ok(()),
-                        ended = serve_connection(stream, control) => ended,
+                        result = serve_connection(stream, control) => result,
                     };
-                    if let Err(error) = ended {
+                    if let Err(error) = result {
                         slog::debug!(log, "peer connection failed"; "event" => event::CONNECTION_FAILED,
                             "from" => %from, "error" => %error);
                     }
@@ -51,7 +51,7 @@
                 slog::warn!(control.log, "connection refused: not a peer host"; "event" => event::MESSAGE_REFUSED,
                     "from" => %from);
             }
-            Err(_refused) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_accept_failed) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
     sessions.close();
@@ -97,7 +97,7 @@
             Ok(message) if message.from == replica => {
                 group.input(GroupInput::Message(message));
             }
-            Ok(_forged) => return Err(std::io::Error::other("message in another replica's name")),
+            Ok(_wrong_sender) => return Err(std::io::Error::other("message names another replica as its sender")),
             Err(error) => return Err(std::io::Error::other(error)),
         }
     }
