--- a/crates/acacia-control/src/joining.rs
+++ b/crates/acacia-control/src/joining.rs
@@ -1,4 +1,4 @@
-//! How a host with an empty data folder finds its place in the group.
+//! Requests for a replica identity, which a host with an empty data folder sends to the group.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,14 +15,18 @@
 
 use crate::daemon::ControlListeners;
 
-/// How often the group is asked.
+/// Delay between two rounds of requests to the other replicas.
 const ASK_INTERVAL: Duration = Duration::from_millis(300);
-/// How long one replica may take to answer; a binding has to be committed first.
+/// Maximum time for one request. The reply can take a commit, because the group first binds the member to the data
+/// folder.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// After how many rounds of asking the reason is logged again.
+/// Number of rounds after which the reason for the wait is logged again.
 const LOG_EVERY: u32 = 20;
 
-/// Asks the other replicas until one names the replica that this folder is to be; nothing when told to stop.
+/// Requests an identity from the other replicas until one of them assigns it.
+///
+/// Returns the number of the group and the replica that the data folder with disk number `disk` belongs to, or `None`
+/// if `stop` is cancelled first.
 pub(crate) async fn await_identity(
     settings: &ControlSettings,
     disk: DiskId,
@@ -37,7 +41,7 @@
             for address in &settings.control_addresses {
                 match ask(*address, &settings.host, disk).await {
                     Ok(reply) if reply.replica != 0 => return Some((reply.group, ReplicaId(reply.replica))),
-                    // Only the leader can tell what stands in the way.
+                    // Only the leader states a reason; every other replica sends an empty one.
                     Ok(reply) if reply.reason.is_empty() => {}
                     Ok(reply) => reason = reply.reason,
                     Err(error) => unreachable = format!("; `{address}` cannot be reached: {error}"),
@@ -53,7 +57,7 @@
     tokio::select! {
         () = stop.cancelled() => None,
         found = asking => found,
-        // Whoever connects meanwhile learns at once that this replica cannot help, and tries another.
+        // Closing every connection at once makes clients try another replica instead of waiting for their timeout.
         () = refuse_all(&listeners.peers) => None,
         () = refuse_all(&listeners.operators) => None,
         () = refuse_all(&listeners.admin) => None,
