--- a/crates/acacia-control/src/daemon.rs
+++ b/crates/acacia-control/src/daemon.rs
@@ -31,7 +31,7 @@
 
 use crate::driver::{DriverParts, GroupDriver, spawn_driver};
 use crate::group::{GroupHandle, GroupInput, GroupShared};
-use crate::joining::await_identity;
+use crate::joining::wait_for_identity;
 use crate::leader_tasks::run_leader_tasks;
 use crate::operator_api::OperatorApi;
 use crate::peer_links::PeerLinks;
@@ -297,7 +297,7 @@
 
     /// Waits until the group has admitted the folder; returns nothing when the process is to stop before that.
     async fn join(&mut self) -> anyhow::Result<Option<ReplicaId>> {
-        let admitted = await_identity(
+        let admitted = wait_for_identity(
             &self.settings,
             self.identity.disk,
             &self.listeners,
--- a/crates/acacia-control/src/joining.rs
+++ b/crates/acacia-control/src/joining.rs
@@ -16,30 +16,30 @@
 use crate::daemon::ControlListeners;
 
 /// Delay between two rounds of requests to the other replicas.
-const ASK_INTERVAL: Duration = Duration::from_millis(300);
+const ROUND_INTERVAL: Duration = Duration::from_millis(300);
 /// Maximum time for one request. The reply can take a commit, because the group first binds the member to the data
 /// folder.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 /// Number of rounds after which the reason for the wait is logged again.
-const LOG_EVERY: u32 = 20;
+const LOG_INTERVAL_ROUNDS: u32 = 20;
 
 /// Requests an identity from the other replicas until one of them assigns it.
 ///
 /// Returns the number of the group and the replica that the data folder with disk number `disk` belongs to, or `None`
 /// if `stop` is cancelled first.
-pub(crate) async fn await_identity(
+pub(crate) async fn wait_for_identity(
     settings: &ControlSettings,
     disk: DiskId,
     listeners: &ControlListeners,
     stop: &CancellationToken,
     log: &Logger,
 ) -> Option<(u64, ReplicaId)> {
-    let asking = async {
+    let rounds = async {
         for round in 0_u32.. {
             let mut reason = "no replica in `control_addresses` leads".to_owned();
             let mut unreachable = String::new();
             for address in &settings.control_addresses {
-                match ask(*address, &settings.host, disk).await {
+                match request_identity(*address, &settings.host, disk).await {
                     Ok(reply) if reply.replica != 0 => return Some((reply.group, ReplicaId(reply.replica))),
                     // Only the leader states a reason; every other replica sends an empty one.
                     Ok(reply) if reply.reason.is_empty() => {}
@@ -47,24 +47,24 @@
                     Err(error) => unreachable = format!("; `{address}` cannot be reached: {error}"),
                 }
             }
-            if round % LOG_EVERY == 0 {
+            if round % LOG_INTERVAL_ROUNDS == 0 {
                 slog::info!(log, "waiting to be admitted"; "event" => event::IDENTITY_AWAITED, "reason" => reason + &unreachable);
             }
-            tokio::time::sleep(ASK_INTERVAL).await;
+            tokio::time::sleep(ROUND_INTERVAL).await;
         }
         None
     };
     tokio::select! {
         () = stop.cancelled() => None,
-        found = asking => found,
+        identity = rounds => identity,
         // Closing every connection at once makes clients try another replica instead of waiting for their timeout.
-        () = refuse_all(&listeners.peers) => None,
-        () = refuse_all(&listeners.operators) => None,
-        () = refuse_all(&listeners.admin) => None,
+        () = close_connections(&listeners.peers) => None,
+        () = close_connections(&listeners.operators) => None,
+        () = close_connections(&listeners.admin) => None,
     }
 }
 
-async fn refuse_all(listener: &TcpListener) {
+async fn close_connections(listener: &TcpListener) {
     loop {
         if let Ok((stream, _)) = listener.accept().await {
             drop(stream);
@@ -72,8 +72,8 @@
     }
 }
 
-async fn ask(address: SocketAddr, host: &str, disk: DiskId) -> std::io::Result<IdentityReply> {
-    let asked = async {
+async fn request_identity(address: SocketAddr, host: &str, disk: DiskId) -> std::io::Result<IdentityReply> {
+    let exchange = async {
         let (mut reader, mut writer) = split_frames(TcpStream::connect(address).await?);
         let request = IdentityRequest {
             host: host.to_owned(),
@@ -85,5 +85,5 @@
             _ => Err(std::io::ErrorKind::InvalidData.into()),
         }
     };
-    tokio::time::timeout(ANSWER_TIMEOUT, asked).await?
+    tokio::time::timeout(REQUEST_TIMEOUT, exchange).await?
 }
