--- a/crates/acacia-control/src/entry_session.rs
+++ b/crates/acacia-control/src/entry_session.rs
@@ -1,4 +1,4 @@
-//! Answers an entry's requests and tells it of newer configurations.
+//! The session of one entry connection: replies to the entry's requests and notices of new configuration versions.
 
 use std::sync::Arc;
 
@@ -56,22 +56,22 @@
                 continue;
             }
         };
-        // Commands are handed over here, so that they are proposed in the order in which the entry sent them: the
-        // release of a claim must not overtake the claim.
+        // Commands are submitted here rather than in the spawned task, so that they are proposed in the order in which
+        // the entry sent them. Otherwise, the release of a claim could be proposed before the claim itself.
         let begun = begin_call(&control, call).await;
         let (control, answers) = (Arc::clone(&control), answers.clone());
         tokio::spawn(async move {
             let answer = finish_call(&control, begun).await;
             drop(span);
             let frame = Frame::EntryReply(answer_to_wire(boot_now(), request, &answer));
-            // A closed channel means that the connection is gone; the entry asks again on another one.
+            // The channel is closed if the connection has ended. The entry then repeats its request on a new one.
             let _gone = answers.send(frame).await;
         });
     }
     Ok(())
 }
 
-/// A call that is under way.
+/// A request whose answer is not known yet.
 #[derive(Debug)]
 enum BegunCall {
     Command(PendingOutcome),
@@ -126,7 +126,9 @@
     Ok(())
 }
 
-/// Tells the entry of each newer configuration, upon which it asks for it; the notice itself confirms nothing.
+/// Notifies the entry of each new configuration version.
+///
+/// The entry then requests the configuration with a lease renewal. The notice alone does not confirm its lease.
 async fn send_notices(control: Arc<Control>, answers: mpsc::Sender<Frame>) {
     let mut versions = control.group.versions();
     while versions.changed().await.is_ok() {
@@ -138,7 +140,8 @@
     }
 }
 
-/// Confirms an entry's lease and brings its configuration and its view of the endpoints up to date.
+/// Confirms an entry's lease and returns the changes of the configuration and of the endpoints that the entry does not
+/// have yet, together with its shares of the pools.
 async fn renew(control: &Control, lease: LeaseRequest) -> Result<EntryAnswer, NotLeading> {
     control.group.confirm().await?;
     let state = control.group.read();
