--- a/crates/acacia-control/src/driver/mod.rs
+++ b/crates/acacia-control/src/driver/mod.rs
@@ -175,7 +175,7 @@
             },
             GroupInput::ConfirmLeadership(answer) => self.pending_confirmations.push(answer),
             GroupInput::Message(message) => self.replica.step(boot_now(), message),
-            GroupInput::PeerConnected { replica, address } => self.links.open_for_caller(replica, &address),
+            GroupInput::PeerConnected { replica, address } => self.links.handle_peer_connected(replica, &address),
             GroupInput::ChangeMembers { change, answer } => {
                 let changed = self.replica.change_members(change).map(|(_, replica)| replica);
                 let _receiver_dropped = answer.send(changed);
@@ -361,7 +361,7 @@
         };
         let before = self.shared.status.send_replace(status.clone());
         if before.members != status.members {
-            self.links.follow_members(&status.members, self.replica.id());
+            self.links.update_members(&status.members, self.replica.id());
         }
         self.log_leadership(&before, &status);
     }
--- a/crates/acacia-control/src/peer_links.rs
+++ b/crates/acacia-control/src/peer_links.rs
@@ -1,4 +1,4 @@
-//! Connections to the other replicas, one for each, kept open by a task.
+//! Outbound connections to the other replicas. A task per replica keeps its connection open.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,12 +13,13 @@
 use tokio::runtime::Handle;
 use tokio::sync::{Notify, mpsc};
 
-/// How many messages may wait for one replica. What does not fit is dropped; replication finds out and sends it again.
-const WAITING_MESSAGES: usize = 1_024;
-/// How long the kernel may go on trying to deliver; a longer silence means that the connection is lost.
+/// Maximum number of messages queued for one replica. Messages beyond it are dropped; replication detects the loss and
+/// resends them.
+const MESSAGE_QUEUE_CAPACITY: usize = 1_024;
+/// `TCP_USER_TIMEOUT` of a connection: if sent data stays unacknowledged for longer, the connection is considered lost.
 const USER_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long to wait before connecting again.
-const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
+/// Delay between the end of a connection and the next attempt to connect.
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 
 /// The connections of one replica to the others.
 #[derive(Debug)]
@@ -32,8 +33,8 @@
 struct PeerLink {
     address: String,
     messages: mpsc::Sender<ReplicaMessage>,
-    /// Tells that the replica has called.
-    called: Arc<Notify>,
+    /// Notified when the replica has connected to this one.
+    peer_connected: Arc<Notify>,
 }
 
 impl PeerLinks {
@@ -45,8 +46,8 @@
         }
     }
 
-    /// Opens links to new members and drops those of members that have left.
-    pub(crate) fn follow_members(&mut self, members: &MemberSet, own: ReplicaId) {
+    /// Opens links to new members and drops those of members that have left or have another address.
+    pub(crate) fn update_members(&mut self, members: &MemberSet, own: ReplicaId) {
         if let Some(row) = members.get(own) {
             self.hello.address.clone_from(&row.address);
         }
@@ -57,19 +58,21 @@
         }
     }
 
-    /// Opens a link to a replica that has called, if there is none, and connects at once where it is not connected.
+    /// Opens a link to a replica that has connected to this one, unless there is a link already. If the link is not
+    /// connected, it starts a new connection attempt at once.
     ///
-    /// After all hosts lost power, an attempt to connect to one that was still down would be waited for until it times
-    /// out, and the votes that its replica asks for meanwhile would be lost: the group is without a leader for as long.
+    /// When all hosts start after a power loss, a connection attempt to a host that is still down lasts until its
+    /// timeout. Without the new attempt, votes that the host's replica requests during that time would be lost, and the
+    /// group would have no leader until the timeout.
     ///
-    /// A replica that has just been admitted, or was away while members changed, does not know the leader that calls
-    /// it. Without a link it could not answer, and the leader would never learn what it lacks.
-    pub(crate) fn open_for_caller(&mut self, id: ReplicaId, address: &str) {
+    /// A replica that has just been admitted, or was down while the members changed, does not know the leader that
+    /// connects to it. Without a link, it could not reply, and the leader would not learn which log entries it lacks.
+    pub(crate) fn handle_peer_connected(&mut self, id: ReplicaId, address: &str) {
         if !address.is_empty() {
             self.open(id, address);
         }
         if let Some(link) = self.links.get(&id) {
-            link.called.notify_one();
+            link.peer_connected.notify_one();
         }
     }
 
@@ -77,21 +80,26 @@
         if self.links.contains_key(&id) {
             return;
         }
-        let (messages, waiting) = mpsc::channel(WAITING_MESSAGES);
-        let called = Arc::new(Notify::new());
-        let link = keep_link(address.to_owned(), self.hello.clone(), waiting, Arc::clone(&called));
+        let (messages, queue) = mpsc::channel(MESSAGE_QUEUE_CAPACITY);
+        let peer_connected = Arc::new(Notify::new());
+        let link = run_link(
+            address.to_owned(),
+            self.hello.clone(),
+            queue,
+            Arc::clone(&peer_connected),
+        );
         self.runtime.spawn(link);
         self.links.insert(
             id,
             PeerLink {
                 address: address.to_owned(),
                 messages,
-                called,
+                peer_connected,
             },
         );
     }
 
-    /// Sends messages, or drops those for which there is no room or no link.
+    /// Queues messages for sending. Drops a message if its receiver has no link or if the queue of that link is full.
     pub(crate) fn send<'message>(&self, messages: impl Iterator<Item = &'message ReplicaMessage>) {
         for message in messages {
             if let Some(link) = self.links.get(&message.to)
@@ -103,44 +111,54 @@
     }
 }
 
-/// Keeps a connection open until the link is dropped.
-async fn keep_link(address: String, hello: Hello, mut waiting: mpsc::Receiver<ReplicaMessage>, called: Arc<Notify>) {
+/// Connects to a replica and sends it the queued messages, reconnecting as needed, until the link is dropped.
+async fn run_link(
+    address: String,
+    hello: Hello,
+    mut queue: mpsc::Receiver<ReplicaMessage>,
+    peer_connected: Arc<Notify>,
+) {
     loop {
         let connected = tokio::select! {
             connected = connect_within(&address, CONNECT_TIMEOUT, USER_TIMEOUT) => connected,
-            // It can be reached now; what waits for it was meant for this moment.
-            () = called.notified() => continue,
+            // The replica is reachable now, so retry at once and keep the queued messages, such as a reply to its vote
+            // request.
+            () = peer_connected.notified() => continue,
         };
-        let ended = match connected {
-            Ok(stream) => use_connection(stream, &hello, &mut waiting).await,
+        let result = match connected {
+            Ok(stream) => send_queued(stream, &hello, &mut queue).await,
             Err(error) => Err(error),
         };
-        if ended.is_ok() {
+        if result.is_ok() {
             return;
         }
-        // What waited meanwhile is stale; replication sends anew what is missing.
-        while waiting.try_recv().is_ok() {}
-        if waiting.is_closed() {
+        // The queued messages are stale; replication resends what is missing.
+        while queue.try_recv().is_ok() {}
+        if queue.is_closed() {
             return;
         }
         tokio::select! {
-            () = tokio::time::sleep(RECONNECT_PAUSE) => {}
-            () = called.notified() => {}
+            () = tokio::time::sleep(RECONNECT_DELAY) => {}
+            () = peer_connected.notified() => {}
         }
     }
 }
 
-/// Sends until the link is dropped; fails when the connection does.
-async fn use_connection(
+/// Sends queued messages until the link is dropped.
+///
+/// # Errors
+///
+/// Fails if the connection fails.
+async fn send_queued(
     stream: TcpStream,
     hello: &Hello,
-    waiting: &mut mpsc::Receiver<ReplicaMessage>,
+    queue: &mut mpsc::Receiver<ReplicaMessage>,
 ) -> std::io::Result<()> {
     let (_reader, mut writer) = split_frames(stream);
     writer.send(Frame::Hello(hello.clone())).await?;
-    while let Some(message) = waiting.recv().await {
+    while let Some(message) = queue.recv().await {
         writer.feed(Frame::Message(message_to_wire(&message))).await?;
-        while let Ok(message) = waiting.try_recv() {
+        while let Ok(message) = queue.try_recv() {
             writer.feed(Frame::Message(message_to_wire(&message))).await?;
         }
         writer.flush().await?;
--- a/crates/acacia-control/src/peer_listener.rs
+++ b/crates/acacia-control/src/peer_listener.rs
@@ -1,4 +1,4 @@
-//! The peer listener: other replicas, entries, and hosts that ask for their place in the group.
+//! The peer listener. It serves other replicas, entries, and hosts that request a replica identity.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,14 +17,14 @@
 use crate::entry_session::serve_entry;
 use crate::group::{GroupHandle, GroupInput};
 
-/// How long to wait after the system refused to accept a connection.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// How long a peer may take to say who it is.
+/// Delay before the next `accept` after one has failed.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Maximum time until a new connection has sent its first frame.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long the kernel may go on trying to deliver to a peer.
+/// `TCP_USER_TIMEOUT` of a peer connection.
 const USER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Serves peers' connections until `stop` is cancelled.
+/// Accepts and serves connections from the configured peer hosts until `stop` is cancelled.
 pub(crate) async fn serve_peers(listener: TcpListener, control: Arc<Control>, stop: CancellationToken) {
     let sessions = TaskTracker::new();
     loop {
@@ -37,11 +37,11 @@
                 let (control, stop) = (Arc::clone(&control), stop.clone());
                 sessions.spawn(async move {
                     let log = control.log.clone();
-                    let ended = tokio::select! {
+                    let result = tokio::select! {
                         () = stop.cancelled() => Ok(()),
-                        ended = serve_connection(stream, control) => ended,
+                        result = serve_connection(stream, control) => result,
                     };
-                    if let Err(error) = ended {
+                    if let Err(error) = result {
                         slog::debug!(log, "peer connection failed"; "event" => event::CONNECTION_FAILED,
                             "from" => %from, "error" => %error);
                     }
@@ -51,7 +51,7 @@
                 slog::warn!(control.log, "connection refused: not a peer host"; "event" => event::MESSAGE_REFUSED,
                     "from" => %from);
             }
-            Err(_refused) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_accept_failed) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
     sessions.close();
@@ -69,7 +69,12 @@
     }
 }
 
-/// Takes another replica's messages until its connection ends.
+/// Passes the messages of another replica to this one until its connection ends.
+///
+/// # Errors
+///
+/// Fails if the connection fails, if the replica belongs to another group, or if a message is malformed or names
+/// another sender.
 pub(crate) async fn serve_replica(
     mut reader: FrameReader<TcpStream>,
     group: &GroupHandle,
@@ -92,7 +97,7 @@
             Ok(message) if message.from == replica => {
                 group.send_input(GroupInput::Message(message));
             }
-            Ok(_forged) => return Err(std::io::Error::other("message in another replica's name")),
+            Ok(_wrong_sender) => return Err(std::io::Error::other("message names another replica as its sender")),
             Err(error) => return Err(std::io::Error::other(error)),
         }
     }
