--- a/crates/acacia-entry/src/serving/codec.rs
+++ b/crates/acacia-entry/src/serving/codec.rs
@@ -1,4 +1,6 @@
-//! What calls look like to callers and endpoints, as a trait that an adapter implements.
+//! Translation between the wire format of calls and the entry's own types.
+//!
+//! The entry does not depend on a wire format: an adapter implements [`CallCodec`].
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -13,105 +15,106 @@
 
 use super::refusal::CallRefusal;
 
-/// What a caller's request head says.
+/// Contents of a caller's request head.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallHead {
-    /// Identifies the request; each send of a caller has another.
+    /// Identifier of the request. A caller that repeats a call sends a different one.
     pub request: String,
-    /// The host that the caller addresses.
+    /// Host name that the caller addressed.
     pub host: String,
-    /// The path without its query.
+    /// Path without the query.
     pub path: String,
-    /// The caller's key.
+    /// API key of the caller.
     pub key: Option<String>,
-    /// How long the caller waits.
+    /// Time for which the caller waits for the answer.
     pub patience: Option<Duration>,
-    /// The prompt, where the call is for a model.
+    /// Shape of the prompt, if the call is for a model.
     pub prompt: Option<PromptShape>,
-    /// The last event that the caller has of this stream.
+    /// Identifier of the last event that the caller has received, if it resumes a stream.
     pub resume_after: Option<u64>,
 }
 
-/// Why a request head cannot be used.
+/// Reason for which a request head is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeadFault {
-    /// A field is missing or malformed.
+    /// The named field is missing or malformed.
     Malformed(&'static str),
     /// The head is larger than callers may send.
     TooLarge,
 }
 
-/// What one send is for.
+/// Part of a call that an endpoint is asked to execute in one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptRole<'call> {
     /// The whole call.
     Whole,
-    /// Only to read the prompt, and to keep it for another endpoint.
+    /// Prefill of the prompt. The endpoint keeps the result for another endpoint.
     ReadPrompt {
-        /// An engine that probably keeps parts of the prompt, to copy them from.
+        /// Address of an engine that has probably cached parts of the prompt, from which they can be copied.
         copy_from: Option<SocketAddr>,
     },
-    /// To make the tokens of a prompt that another endpoint has read.
+    /// Decoding of a prompt that another endpoint has prefilled.
     MakeTokens {
-        /// Where the prompt was read.
+        /// Address of the engine that prefilled the prompt.
         reader: SocketAddr,
-        /// Under which handle it is kept there.
+        /// Handle of the prefilled prompt on that engine.
         handle: &'call str,
     },
 }
 
-/// What one send says beside what the caller has said.
+/// Data that the entry adds to the caller's request head for one attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptHead<'call> {
-    /// The endpoint; any other that may have its address by now refuses.
+    /// Name of the intended endpoint. If the address now belongs to another endpoint, that one refuses the call.
     pub endpoint: &'call EndpointName,
-    /// The customer whose key the caller has sent.
+    /// Customer to whom the caller's key belongs.
     pub customer: Option<&'call CustomerName>,
-    /// How long the endpoint may work.
+    /// Time that the endpoint has left for the call.
     pub time_left: Duration,
-    /// What the send is for.
+    /// Part of the call that the endpoint is to execute.
     pub role: AttemptRole<'call>,
-    /// The last event that the caller has, where the stream goes on.
+    /// Identifier of the last event that the caller has received, if the stream is resumed.
     pub resume_after: Option<u64>,
-    /// The rank; 0 is the most urgent.
+    /// Priority of the call; 0 is the highest.
     pub priority: u8,
 }
 
-/// What the head of an endpoint's answer says.
+/// Contents of the head of an endpoint's answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AnswerHead {
-    /// The request that it answers, as the endpoint says.
+    /// Identifier of the answered request, if the endpoint sent it.
     pub request: Option<String>,
-    /// Whether the endpoint says that it has not run the request and never will.
+    /// True if the endpoint states that it has not run the request and never will.
     pub not_run: bool,
-    /// How long the endpoint keeps the connection, if it says so.
+    /// Time for which the endpoint keeps the connection open, if it sent one.
     pub keep_alive: Option<Duration>,
 }
 
-/// Translates calls.
+/// Translator between HTTP messages and the entry's types.
 pub trait CallCodec: fmt::Debug + Send + Sync + 'static {
     /// Reads a caller's request head.
     ///
     /// # Errors
     ///
-    /// Fails when the head cannot be used.
+    /// Fails if the head is malformed or larger than `largest_head` bytes.
     fn read_head(&self, parts: &Parts, largest_head: usize) -> Result<CallHead, HeadFault>;
-    /// Writes the head of a send: the caller's, without what only the system may set, and with what it sets.
+    /// Writes the request head of an attempt: the caller's head, in which the headers reserved for the entry are replaced
+    /// by its own.
     fn attempt_head(&self, parts: &Parts, attempt: &AttemptHead<'_>) -> Request<()>;
-    /// Reads the head of an answer.
+    /// Reads the head of an endpoint's answer.
     fn read_answer(&self, headers: &HeaderMap) -> AnswerHead;
-    /// Takes away what concerns only the connection to the endpoint.
+    /// Returns the headers of an answer without those that concern only the connection to the endpoint.
     fn caller_headers(&self, headers: &HeaderMap) -> HeaderMap;
-    /// Reads the answer to [`AttemptRole::ReadPrompt`]: the handle under which the prompt is kept.
+    /// Reads the handle of the prefilled prompt from the body of an answer to [`AttemptRole::ReadPrompt`].
     fn read_prompt_handle(&self, body: &[u8]) -> Option<String>;
-    /// Returns the call that frees a handle that is not used.
+    /// Returns the method and path of the request that frees an unused handle.
     fn free_handle(&self, handle: &str) -> (Method, String);
-    /// Writes a refusal.
+    /// Writes the response to a refused call. `request` is the identifier of the request, if it could be read.
     fn write_refusal(&self, request: Option<&str>, refusal: &CallRefusal) -> Response<ResponseBody>;
-    /// Reads a configuration.
+    /// Parses a configuration document.
     ///
     /// # Errors
     ///
-    /// Fails with everything that keeps it from being read.
+    /// Fails with all findings that make the document invalid.
     fn read_config(&self, document: &[u8]) -> Result<ServingConfig, Vec<ConfigFinding>>;
 }
--- a/crates/acacia-entry/src/serving/refusal.rs
+++ b/crates/acacia-entry/src/serving/refusal.rs
@@ -1,40 +1,40 @@
-//! What a caller is told whose call is not answered by an endpoint.
+//! Reasons for which the entry answers a call itself instead of an endpoint.
 
 use std::time::Duration;
 
-/// Why a call is not answered.
+/// Reason for which a call is refused.
 ///
-/// [`NotRun`](Self::NotRun) is a promise: no endpoint has run the call, and none will. It may be made only where nothing
-/// was sent that could run it, or where every endpoint that got it has said itself that it did not.
+/// [`NotRun`](Self::NotRun) guarantees that no endpoint has run the call and none will. It may be used only if the call
+/// reached no endpoint, or if every endpoint that received it stated that it did not run it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallRefusal {
-    /// The request head cannot be used.
+    /// The request head is malformed.
     BadHead(&'static str),
-    /// The request head is larger than callers may send.
+    /// The request head exceeds the size limit.
     HeadTooLarge,
-    /// The request body is larger than callers may send.
+    /// The request body exceeds the size limit.
     BodyTooLarge,
-    /// The request body did not arrive in time, or not whole.
+    /// The request body arrived late or incomplete.
     BodyLate,
-    /// No route has this host and path.
+    /// No route matches the host and path.
     NoRoute,
-    /// The key is missing or not in force.
+    /// The key is missing or not valid.
     UnknownKey,
-    /// The call has not run and will not; the caller may come back after this time.
+    /// The call has not run and will not run. The caller may retry it.
     NotRun {
-        /// Why.
+        /// Reason for logs and metrics.
         reason: &'static str,
-        /// When to come back.
+        /// Delay before the retry.
         retry_after: Duration,
     },
-    /// An endpoint may have run the call, and its answer is lost.
+    /// An endpoint may have run the call, but its answer was lost.
     AnswerLost,
-    /// The time ran out while an endpoint may have been running the call.
+    /// The deadline passed while an endpoint may have been running the call.
     TimedOut,
 }
 
 impl CallRefusal {
-    /// Returns the reason as a word for logs and metrics.
+    /// Returns the reason as a short text for logs and metric labels.
     pub const fn reason(&self) -> &'static str {
         match self {
             Self::BadHead(reason) | Self::NotRun { reason, .. } => reason,
@@ -49,12 +49,12 @@
     }
 }
 
-/// When a caller may come back whom this entry cannot serve at the moment, while others can or it will soon.
+/// Retry delay of a call that this entry cannot serve now, but that another entry can, or this one soon.
 pub(super) const SOON: Duration = Duration::from_millis(250);
-/// When a caller may come back whose call found no endpoint: endpoints report once a second.
+/// Retry delay of a call for which there is no endpoint. Endpoints report once a second.
 pub(super) const NO_ENDPOINT: Duration = Duration::from_millis(700);
 
-/// Returns the promise that a call has not run.
+/// Returns the refusal of a call that has not run and will not run.
 pub(super) const fn not_run(reason: &'static str, retry_after: Duration) -> CallRefusal {
     CallRefusal::NotRun { reason, retry_after }
 }
