--- a/crates/acacia-entry/src/serving/choice.rs
+++ b/crates/acacia-entry/src/serving/choice.rs
@@ -1,4 +1,4 @@
-//! Which endpoint a call of this entry goes to: the library's decisions over what the entry knows.
+//! Choice of endpoints for calls: applies the placement functions of `acaciabay::ops` to the state of this entry.
 
 use acaciabay::core::clock::BootTime;
 use acaciabay::core::name::{DomainName, EndpointName, ServiceName};
@@ -9,19 +9,19 @@
 
 use super::shared::{EntryShared, EntryView};
 
-/// An endpoint that a call is sent to.
+/// Endpoint to which a call is sent, as it was when it was chosen.
 #[derive(Clone, Debug)]
 pub(super) struct ChosenEndpoint {
     pub(super) name: EndpointName,
     pub(super) endpoint: ServingEndpoint,
 }
 
-/// An engine that reads a prompt.
+/// Engine that prefills a prompt.
 #[derive(Clone, Debug)]
 pub(super) struct ChosenReader {
     pub(super) engine: ChosenEndpoint,
     pub(super) place: PromptPlace,
-    /// Where the engine may copy shared parts from.
+    /// Engine from which it may copy shared parts of the prompt.
     pub(super) copy_from: Option<ChosenEndpoint>,
 }
 
@@ -40,12 +40,12 @@
         chosen(&candidates, &name)
     }
 
-    /// Tells whether the engines of a service share the work by stages, so that one of them reads prompts.
+    /// Returns true if the service has separate engines for prefill that take calls at present.
     pub(super) fn has_readers(&self, now: BootTime, service: &ServiceName) -> bool {
         !of_stage(&self.view(), now, service, EngineStage::Prefill).is_empty()
     }
 
-    /// Chooses an engine that reads a prompt.
+    /// Chooses an engine to prefill a prompt.
     pub(super) fn choose_reader(
         &self,
         now: BootTime,
@@ -73,7 +73,7 @@
         })
     }
 
-    /// Chooses an engine that makes tokens.
+    /// Chooses an engine to decode. `reader_domain` is the failure domain of the engine that prefilled the prompt.
     pub(super) fn choose_maker(
         &self,
         now: BootTime,
@@ -86,7 +86,7 @@
         let view = self.view();
         let mut candidates = of_stage(&view, now, service, EngineStage::Decode);
         if candidates.is_empty() {
-            // A service whose endpoints name no stage does both at once.
+            // Endpoints that report no stage both prefill and decode.
             candidates = view.registry.ready(now, service);
             candidates.retain(|(_, endpoint)| endpoint.stage.is_none());
         }
