--- a/crates/acacia-entry/src/serving/config_intake.rs
+++ b/crates/acacia-entry/src/serving/config_intake.rs
@@ -1,4 +1,4 @@
-//! Taking the configurations that replicas send.
+//! Receipt and installation of configurations sent by replicas.
 
 use std::io;
 use std::sync::Arc;
@@ -17,30 +17,31 @@
 
 use super::shared::EntryShared;
 
-/// What is open and known on one connection to a replica.
+/// State of one session with a replica: the unanswered renewals and the configuration transfer.
 #[derive(Debug, Default)]
 pub(super) struct ReplicaSession {
     pub(super) renewals: PendingRenewals<ConfigDocument>,
     taken: ConfigReceiver,
 }
 
-/// A configuration that an answer has brought or confirmed.
+/// Configuration that a replica has sent or confirmed in its answer to a renewal.
 #[derive(Debug)]
 pub(super) struct ConfigArrival {
     pub(super) config: ConfigDocument,
-    /// When the question was asked that was answered.
+    /// Time at which the renewal was requested.
     pub(super) asked_at: BootTime,
     arrived_at: BootTime,
-    /// The length of the content that came with the answer.
+    /// Size of the document or delta in the answer; 0 if it had neither.
     pub(super) bytes: usize,
 }
 
 impl ReplicaSession {
-    /// Takes the answer to a renewal: the number of the newest configuration, and what brings the entry to it.
+    /// Processes the answer to a renewal. `number` is the number of the newest configuration, and `content` is its document
+    /// or the difference from an earlier one.
     ///
     /// # Errors
     ///
-    /// Fails when the answer does not follow from what came before; the session has to begin anew.
+    /// Fails if the renewal is not pending or the content cannot be applied. The session must then be closed.
     pub(super) fn take(
         &mut self,
         now: BootTime,
@@ -65,11 +66,11 @@
 }
 
 impl EntryShared {
-    /// Serves by a configuration from now on, unless a newer one is held.
+    /// Installs a configuration, unless the entry holds it already or holds a newer one.
     ///
     /// # Errors
     ///
-    /// Fails when it cannot be read.
+    /// Fails if the document cannot be parsed.
     pub(super) fn install_config(&self, arrival: &ConfigArrival) -> io::Result<()> {
         let number = arrival.config.number;
         let before = self.view().held.number;
@@ -77,7 +78,7 @@
             return Ok(());
         }
         let config = self.codec.read_config(&arrival.config.document).map_err(|findings| {
-            slog::error!(self.log, "configuration cannot be read"; "event" => event::CONFIG_UNREADABLE,
+            slog::error!(self.log, "configuration is invalid"; "event" => event::CONFIG_UNREADABLE,
                 "number" => number.0, "findings" => ?findings);
             io::Error::other("configuration cannot be read")
         })?;
--- a/crates/acacia-entry/src/serving/endpoint_news.rs
+++ b/crates/acacia-entry/src/serving/endpoint_news.rs
@@ -1,4 +1,4 @@
-//! Taking what replicas tell of endpoints.
+//! Handling of the messages in which replicas report the state of endpoints.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 
 use super::shared::EntryShared;
 
-/// Takes what endpoints have said to a replica.
+/// Applies the reports that endpoints have sent to a replica.
 pub(super) fn take_news(shared: &EntryShared, news: &EndpointNews) {
     let now = boot_now();
     let mut view = shared.view();
@@ -22,7 +22,7 @@
         let (name, endpoint) = match endpoint_from_wire(row) {
             Ok(read) => read,
             Err(error) => {
-                slog::warn!(shared.log, "malformed news of an endpoint"; "event" => event::MESSAGE_REFUSED,
+                slog::warn!(shared.log, "malformed endpoint report received"; "event" => event::MESSAGE_REFUSED,
                     "error" => %error);
                 continue;
             }
@@ -35,7 +35,7 @@
     }
 }
 
-/// Takes which engines carry out an order at present.
+/// Replaces the set of engines that are changing their stage and therefore take no calls.
 pub(super) fn take_resting(shared: &EntryShared, resting: &RestingEngines) {
     let now = boot_now();
     let engines = resting
--- a/crates/acacia-entry/src/serving/renewal_message.rs
+++ b/crates/acacia-entry/src/serving/renewal_message.rs
@@ -1,5 +1,5 @@
-//! What an entry tells the leader with each renewal: the calls that it has counted, its work at the endpoints, what its
-//! callers ask for.
+//! Request for the renewal of the lease, which also reports this entry's call counts, its outstanding work at the
+//! endpoints and the demand of its callers.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,10 @@
 
 use super::shared::EntryShared;
 
-/// Returns the renewal of this number, of an entry that holds the configuration `held`. What was asked for is told once.
+/// Builds the renewal request with this number. `held` is the number of the configuration that the entry holds.
+///
+/// Removes the demand and the announcements of cached parts from the state, since each is reported only once. All other
+/// values are absolute and repeated in every request.
 pub(super) fn renewal_frame(shared: &EntryShared, number: u64, held: ConfigNumber) -> Frame {
     let mut view = shared.view();
     let uses = view
