--- a/crates/acacia-entry/src/serving/attempt.rs
+++ b/crates/acacia-entry/src/serving/attempt.rs
@@ -1,4 +1,4 @@
-//! One send of a call to one endpoint.
+//! A single attempt to send a call to one endpoint.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -18,33 +18,34 @@
 use super::choice::ChosenEndpoint;
 use super::codec::{AttemptHead, AttemptRole};
 
-/// How much earlier than the endpoint closes it a connection is given up, so that no request crosses the close.
+/// Time by which an idle connection is closed earlier than the endpoint closes it. Without it, a request could be sent
+/// while the endpoint is closing the connection.
 const KEEP_MARGIN: Duration = Duration::from_secs(1);
 
-/// What a send came to.
+/// Result of an attempt.
 #[derive(Debug)]
 pub(super) enum AttemptOutcome {
-    /// The endpoint has answered; the body may still be arriving.
+    /// The endpoint has answered. The body may be incomplete yet.
     Answered(Box<EndpointReply>),
-    /// The endpoint cannot have run the call: nothing was sent, or it says so itself. `arrived` tells which.
+    /// The endpoint has not run the call: either nothing was sent, or the endpoint itself states so.
     NotRun {
-        /// Whether the endpoint got the call.
+        /// True if the endpoint received the call, false if nothing was sent.
         arrived: bool,
     },
-    /// The endpoint may have run the call.
+    /// The endpoint may have run the call, but its answer was lost.
     Lost,
-    /// The time for the send has passed, and the endpoint may be running the call.
+    /// The time limit of the attempt passed. The endpoint may still be running the call.
     TimedOut,
 }
 
-/// An endpoint's answer.
+/// Answer of an endpoint, with the connection on which it arrives.
 #[derive(Debug)]
 pub(super) struct EndpointReply {
     pub(super) response: Response<Incoming>,
     pub(super) connection: KeptConnection,
 }
 
-/// The connection of an answer, to be used again once the answer is whole.
+/// Connection of an answer, which can be reused once the answer is complete.
 #[derive(Debug)]
 pub(super) struct KeptConnection {
     finished: FinishedConnection,
@@ -52,7 +53,7 @@
 }
 
 impl KeptConnection {
-    /// Keeps the connection for other calls.
+    /// Returns the connection to the pool.
     pub(super) async fn give_back(self, call: &OpenCall) {
         let client = &call.shared.client;
         let now = boot_now();
@@ -63,14 +64,14 @@
     }
 }
 
-/// A send that is waited for. Dropped before its end, it logs that the caller has left.
+/// Attempt that awaits its answer. If it is dropped before it has ended, the caller has disconnected, which is logged.
 #[derive(Debug)]
 struct WatchedSend<'call> {
     call: &'call OpenCall,
     chosen: &'call ChosenEndpoint,
     role: AttemptRole<'call>,
     sent_at: BootTime,
-    /// How long the endpoint would have been waited for.
+    /// Time limit of the attempt.
     bound: Duration,
     is_ended: bool,
 }
@@ -92,17 +93,17 @@
     }
 }
 
-/// How long an endpoint is waited for.
+/// Time limits of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SendPatience {
-    /// After this silence the endpoint is doubted, and other calls go elsewhere meanwhile; `None` where nobody can tell
-    /// what is usual.
+    /// Time without an answer after which the endpoint is suspected and other calls avoid it, or `None` if it is unknown
+    /// how long answers usually take.
     pub(super) doubt_after: Option<Duration>,
-    /// After this time the send is given up.
+    /// Time after which the attempt is given up.
     pub(super) bound: Duration,
 }
 
-/// Sends a call and waits for the head of the answer.
+/// Sends a call to an endpoint and waits for the head of the answer. Records a failure in the load table.
 pub(super) async fn send(
     call: &OpenCall,
     chosen: &ChosenEndpoint,
@@ -161,7 +162,7 @@
                 .as_ref()
                 .is_some_and(|request| *request != call.head.request)
             {
-                slog::warn!(call.shared.log, "answer crossed"; "event" => event::ANSWER_CROSSED,
+                slog::warn!(call.shared.log, "answer belongs to another request"; "event" => event::ANSWER_CROSSED,
                     "request" => &call.head.request, "answered" => head.request, "endpoint" => chosen.name.as_str());
                 (AttemptOutcome::Lost, "answer to another request".to_owned())
             } else if head.not_run || status == StatusCode::MISDIRECTED_REQUEST {
@@ -195,7 +196,8 @@
     outcome
 }
 
-/// Notes that an endpoint is silent for longer than is usual, while the call goes on waiting for it; never ends.
+/// Marks an endpoint as silent if it has not answered after `doubt_after`. Never completes, so that the call keeps
+/// waiting for the endpoint.
 async fn doubt_in_time(
     call: &OpenCall,
     chosen: &ChosenEndpoint,
@@ -207,7 +209,7 @@
     };
     tokio::time::sleep(doubt_after).await;
     let now = boot_now();
-    slog::info!(call.shared.log, "endpoint is doubted"; "event" => event::ENDPOINT_DOUBTED,
+    slog::info!(call.shared.log, "endpoint suspected"; "event" => event::ENDPOINT_DOUBTED,
         "request" => &call.head.request, "endpoint" => chosen.name.as_str(),
         "sent_ms" => whole_millis(now.since(sent_at)), "report" => chosen.endpoint.sequence);
     call.shared.view().loads.note_silent(now, &chosen.name);
