--- a/crates/acacia-entry/src/serving/call.rs
+++ b/crates/acacia-entry/src/serving/call.rs
@@ -1,4 +1,5 @@
-//! What every call passes: the lease, its route and key, its body.
+//! Checks that every call has to pass before it is sent to an endpoint: the lease, its head, its route and key, and its
+//! body.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,10 +24,10 @@
 use super::shared::EntryShared;
 use super::{plain_call, stream_call};
 
-/// How much earlier than the caller an endpoint is told to stop: the way back.
+/// Time by which the endpoint's deadline is earlier than the caller's, so that the answer can travel back.
 pub(super) const WAY_BACK: Duration = Duration::from_millis(10);
 
-/// A call that may be sent to an endpoint.
+/// Call that has passed all checks and may be sent to an endpoint.
 #[derive(Debug)]
 pub(super) struct OpenCall {
     pub(super) shared: Arc<EntryShared>,
@@ -36,9 +37,9 @@
     pub(super) admitted: AdmittedCall,
     pub(super) service: ServiceName,
     pub(super) received_at: BootTime,
-    /// When the caller has to have its answer.
+    /// Time by which the caller must have received the answer.
     pub(super) until: BootTime,
-    /// A number drawn from the request's identity, to spread calls.
+    /// Hash of the request identifier, by which calls are spread over services and endpoints.
     pub(super) draw: u64,
 }
 
@@ -51,13 +52,13 @@
         self.admitted.customer.as_ref().map(|customer| &customer.name)
     }
 
-    /// Returns how long an endpoint may still work on the call.
+    /// Returns the time that an endpoint has left for the call.
     pub(super) fn time_left(&self, now: BootTime) -> Duration {
         self.until.since(now + WAY_BACK)
     }
 }
 
-/// Answers one call.
+/// Handles one request of a caller.
 pub(super) async fn answer(shared: Arc<EntryShared>, request: Request<Incoming>) -> Response<ResponseBody> {
     let received_at = boot_now();
     let is_leaving = shared.leaving.is_cancelled();
@@ -67,7 +68,7 @@
         Err((head, refusal)) => refuse(&shared, head.as_ref(), refusal, received_at),
     };
     if is_leaving || shared.leaving.is_cancelled() {
-        // A caller that keeps this connection would find it closed in the middle of a later request.
+        // If the caller kept the connection, the stopping entry would close it during a later request.
         response
             .headers_mut()
             .insert(CONNECTION, HeaderValue::from_static("close"));
@@ -75,7 +76,7 @@
     response
 }
 
-/// Answers a call that no endpoint answers.
+/// Logs and counts a refused call, and returns the response to it.
 pub(super) fn refuse(
     shared: &EntryShared,
     head: Option<&CallHead>,
@@ -97,7 +98,7 @@
     shared.codec.write_refusal(request, &refusal)
 }
 
-/// Waits a moment for the lease of an entry that has just started, where the caller says that it can wait.
+/// Waits for the first lease after the start of the entry, if the caller has sent a time limit that allows it.
 async fn hold_without_lease(shared: &EntryShared, parts: &Parts, received_at: BootTime) {
     let Ok(head) = shared.codec.read_head(parts, usize::MAX) else {
         return;
