--- a/crates/acacia-entry/src/serving/control_sessions.rs
+++ b/crates/acacia-entry/src/serving/control_sessions.rs
@@ -1,7 +1,9 @@
-//! Sessions with the replicas of the control group: the lease, the configuration, the endpoints.
+//! Sessions with the replicas of the control group, over which the entry renews its lease and receives the configuration
+//! and the state of the endpoints.
 //!
-//! The entry keeps a session with every replica that votes, since each tells what endpoints report to it. It asks the
-//! leader alone for its lease; while it does not know who leads, it asks all ([`ReplicaTracker`]).
+//! The entry keeps a session with every voter, because each replica forwards only the reports that endpoints sent to it.
+//! It requests the lease from the leader only, or from all replicas while it does not know the leader
+//! ([`ReplicaTracker`]).
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -31,27 +33,28 @@
 use super::renewal_message::renewal_frame;
 use super::shared::EntryShared;
 
-/// How often the lease is renewed: a dozen renewals fit into the shortest lease in use, and what entries tell each
-/// other of the endpoints' load is never older than two of them.
+/// Interval between renewals of the lease. A dozen of them fit into the shortest lease in use, and the load that entries
+/// report to each other is at most two intervals old.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(250);
-/// How long the kernel may go on trying to deliver.
+/// Time for which sent data may remain unacknowledged before the kernel closes the connection.
 const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// After how long without a byte a session counts as lost; replicas send something every half second.
+/// Time without received data after which a session counts as lost. Replicas send a message every half second.
 const SILENCE: Duration = Duration::from_millis(1_500);
-/// How long to wait before connecting again.
+/// Delay before a lost connection is opened again.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(150);
 
-/// What the sessions share.
+/// Sessions with all replicas, and the state that they share.
 #[derive(Debug)]
 pub(super) struct SessionBoard {
     shared: Arc<EntryShared>,
-    /// Identifies this start of the process.
+    /// Random identifier of this start of the process.
     start: u64,
     replicas: Mutex<ReplicaTracker>,
-    /// Tells that a replica has said who votes.
+    /// Notified when a replica has reported the voters.
     heard_voters: Notify,
     seeds: watch::Receiver<Vec<SocketAddr>>,
-    /// Counts the reasons for asking at once: a newer configuration that was announced, a leader that was found.
+    /// Counter of the events upon which a renewal is requested at once: the announcement of a newer configuration, or a
+    /// replica that became leader.
     reasons: watch::Sender<u64>,
 }
 
@@ -67,7 +70,7 @@
         }
     }
 
-    /// Keeps the sessions until `stop` is cancelled.
+    /// Opens and closes sessions as voters and seeds change, until `stop` is cancelled.
     pub(super) async fn keep_sessions(self: Arc<Self>, stop: CancellationToken) {
         let mut seeds = self.seeds.clone();
         let mut sessions: BTreeMap<SocketAddr, JoinHandle<()>> = BTreeMap::new();
@@ -80,7 +83,7 @@
                     session.abort();
                     self.replicas.lock().mark_disconnected(*address);
                     self.shared.view().clock.forget(address);
-                    slog::info!(self.shared.log, "session with a replica given up"; "event" => event::CONTROL_LOST,
+                    slog::info!(self.shared.log, "session with a replica closed"; "event" => event::CONTROL_LOST,
                         "replica" => %address, "reason" => "no replica names it");
                 }
                 keep
@@ -101,8 +104,8 @@
         }
     }
 
-    /// The voters that replicas name, and the seeds besides: after every voter was replaced, the seeds are the only way
-    /// back.
+    /// Returns the replicas to keep sessions with: the reported voters and the seeds. If every voter has been replaced,
+    /// only the seeds lead back to the group.
     fn wanted_replicas(&self, seeds: &[SocketAddr]) -> BTreeSet<SocketAddr> {
         let port = self.shared.settings.peer_port;
         let seeds = seeds.iter().map(|seed| SocketAddr::new(seed.ip(), port));
@@ -171,12 +174,12 @@
         }
     }
 
-    /// Lets every session look at once whether it has to ask. One that is busy at the moment does so afterwards.
+    /// Makes every session check at once if it has to request a renewal. A session that is sending does so afterwards.
     fn ask_at_once(&self) {
         self.reasons.send_modify(|count| *count += 1);
     }
 
-    /// Asks all replicas again where the one that was taken for the leader does not answer.
+    /// Clears the presumed leader if it is this replica and its answer is overdue. All replicas are then asked.
     fn doubt_late_leader(&self, now: BootTime, address: SocketAddr, session: &Mutex<ReplicaSession>) {
         let session = session.lock();
         let Some(overdue) = session.renewals.overdue(now) else {
@@ -189,7 +192,8 @@
         }
     }
 
-    /// Notes that a replica has told the number of a committed configuration; tells whether it is news.
+    /// Records the number of a committed configuration that a replica has announced. Returns true if it is higher than
+    /// that of the held configuration.
     fn take_told(&self, address: SocketAddr, number: ConfigNumber) -> bool {
         let mut view = self.shared.view();
         if number <= view.held.number {
@@ -206,7 +210,7 @@
         let view = self.shared.view();
         let held = view.held.number;
         if let Some(told_at) = view.standing.behind_since(held) {
-            slog::info!(self.shared.log, "newer configuration asked for"; "event" => event::CONFIG_ASKED,
+            slog::info!(self.shared.log, "newer configuration requested"; "event" => event::CONFIG_ASKED,
                 "asked" => asked, "told" => view.standing.announced().0, "held" => held.0, "replica" => %address,
                 "told_ms" => whole_millis(now.since(told_at)));
         }
@@ -266,7 +270,8 @@
         Ok(())
     }
 
-    /// Takes a confirmation and the configuration that it brings, then extends the lease.
+    /// Handles the answer to a renewal: installs the configuration in it, applies the reports of other entries and extends
+    /// the lease.
     fn take_renewal(
         &self,
         address: SocketAddr,
@@ -287,7 +292,7 @@
         self.replicas.lock().record_confirmed(now, address);
         self.shared.install_config(&arrival)?;
         let mut view = self.shared.view();
-        // A renewal that was overtaken by one from another replica confirms nothing that is newer.
+        // Another replica has meanwhile sent a newer configuration, so this answer confirms an outdated one.
         if view.held.number != arrival.config.number {
             return Ok(());
         }
