--- a/crates/acacia-entry/src/serving/prompt_read.rs
+++ b/crates/acacia-entry/src/serving/prompt_read.rs
@@ -1,4 +1,4 @@
-//! Having a prompt read by one engine, so that another can make the tokens.
+//! Prefill of a prompt on one engine, so that another engine can decode it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,20 +25,21 @@
 use super::refusal::{CallRefusal, NO_ENDPOINT, SOON, not_run};
 use super::shared::EntryShared;
 
-/// How much longer than expected an engine may take to read a prompt before another one is asked.
+/// Multiple of the expected prefill time, including the queue, after which another engine is asked.
 const WAIT_FACTOR: f64 = 3.0;
-/// How much longer beside that: the time of a step of the engine, and of the network.
+/// Time that is added to this limit for a step of the engine and the network.
 const WAIT_MARGIN: Duration = Duration::from_secs(1);
-/// Most engines that are asked to read one prompt and do not.
+/// Number of failed engines after which the prefill of a prompt is given up.
 const MOST_READERS: usize = 3;
-/// Most engines that are not reached before a prompt is given up: each of them costs a connection attempt.
+/// Number of unreachable engines after which the prefill of a prompt is given up. Each of them costs a connection attempt.
 const MOST_UNREACHED: usize = 8;
-/// The largest answer of an engine that has read a prompt.
+/// Maximum size of an engine's answer to a prefill request, in bytes.
 const LARGEST_HANDLE: usize = 16 * 1024;
-/// How long freeing a handle may take.
+/// Time limit for freeing a handle.
 const FREE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A prompt that an engine has read and keeps for another. It is freed there unless it is taken.
+/// Prompt that an engine has prefilled and keeps for a decode engine. Dropping the value frees it on the engine, unless a
+/// decode engine has taken it.
 #[derive(Debug)]
 pub(super) struct ReadPrompt {
     pub(super) address: SocketAddr,
@@ -49,14 +50,14 @@
 }
 
 impl ReadPrompt {
-    /// Notes that another engine has taken the prompt.
+    /// Records that a decode engine has taken the prompt.
     pub(super) const fn take(&mut self) {
         self.is_taken = true;
     }
 }
 
 impl Drop for ReadPrompt {
-    /// Frees a prompt that nobody took: until it lapses, nobody else can use the memory.
+    /// Frees the prompt if no engine has taken it. Otherwise it would occupy the engine's memory until it expires.
     fn drop(&mut self) {
         if self.is_taken {
             return;
@@ -84,20 +85,21 @@
                     shared.client.give_back(boot_now(), answer.connection).await;
                 }
             };
-            // A handle that cannot be freed lapses by itself.
+            // A handle that could not be freed expires on the engine.
             let _late = tokio::time::timeout(FREE_TIMEOUT, freeing).await;
         });
     }
 }
 
-/// Has the prompt of a call read. `repeated` says that it was read before, so that every further send counts.
+/// Has an engine prefill the prompt of a call. `repeated` is true if the prompt of this call was sent for prefill before,
+/// so that every attempt counts as a retry.
 pub(super) async fn read_prompt(
     call: &OpenCall,
     prompt: &PromptShape,
     repeated: bool,
 ) -> Result<ReadPrompt, CallRefusal> {
     let mut tried: Vec<EndpointName> = Vec::new();
-    // An engine that was not reached has got nothing, so the next send is still the first one.
+    // An engine that was not reached has received nothing, so the next attempt is not a retry.
     let mut arrived = repeated;
     let mut failed = 0;
     while failed < MOST_READERS && tried.len() - failed < MOST_UNREACHED {
@@ -108,7 +110,7 @@
         };
         let left = call.until.since(now);
         let wait = reader.place.wait;
-        // What is refused has to be read as well, when the caller comes back.
+        // Demand is recorded for refused calls too, because their callers retry.
         note_demand(call, &reader.place);
         if wait >= left {
             return Err(not_run(
@@ -132,13 +134,13 @@
     Err(not_run("engines did not read the prompt", SOON))
 }
 
-/// What asking one engine to read a prompt came to.
+/// Result of a prefill request to one engine.
 #[derive(Debug)]
 enum ReadOutcome {
     Read(ReadPrompt),
-    /// The engine has got nothing of the call.
+    /// The engine has received nothing.
     NotReached,
-    /// The engine has got the call and has not read the prompt, as far as is known.
+    /// The engine has received the request, but has not confirmed that it prefilled the prompt.
     Failed,
 }
 
@@ -158,11 +160,12 @@
     let _guard = call.shared.begin_work(&chosen.name, work);
     let bound = place.wait.mul_f64(WAIT_FACTOR) + WAIT_MARGIN;
     let patience = SendPatience {
-        // How long a prompt takes depends on work that this entry has not heard of; a slow reader is none that is dead.
+        // The engine may be busy with work of other entries that this one has not heard of, so a slow engine is not
+        // suspected.
         doubt_after: None,
         bound: bound.min(call.until.since(began_at)),
     };
-    // Noted before the answer: calls that come meanwhile with the same parts belong there as well.
+    // Recorded before the answer arrives, so that calls with the same parts go to this engine meanwhile.
     let memory = call.shared.engine_memory(&call.service);
     call.shared.view().loads.note_read(&chosen.name, &prompt.parts, memory);
     let outcome = send(
@@ -202,7 +205,7 @@
     if let Some(source) = copy_from
         && is_source_lost(&source.endpoint, place.wait, took)
     {
-        slog::info!(call.shared.log, "copy source is gone"; "event" => event::ATTEMPT_FAILED,
+        slog::info!(call.shared.log, "copy source suspected"; "event" => event::ATTEMPT_FAILED,
             "request" => &call.head.request, "endpoint" => source.name.as_str(), "took_ms" => whole_millis(took));
         view.loads.note_unreachable(boot_now(), &source.name);
     }
