--- a/crates/acacia-entry/src/serving/plain_call.rs
+++ b/crates/acacia-entry/src/serving/plain_call.rs
@@ -1,4 +1,4 @@
-//! Calls that one endpoint answers as a whole.
+//! Calls that a single endpoint answers completely.
 
 use acacia_http::{ResponseBody, full_body};
 use acacia_runtime::clock::boot_now;
@@ -23,21 +23,22 @@
 /// Answers up to this size are read whole before they are passed on: a call that may be repeated can then be sent again
 /// when its answer breaks off.
 const WHOLE_BYTES: usize = 64 * 1024;
-/// How long the rest of an answer that is not passed on may take; a new connection costs about as much.
+/// Time limit for reading a discarded answer to its end so that its connection can be reused. A new connection costs
+/// about as much.
 const DISCARD_TIME: std::time::Duration = std::time::Duration::from_millis(20);
-/// How often a call may be turned away by endpoints, or find them unreachable, before it is given up.
+/// Number of rejected and unreachable attempts that a call tolerates before it is given up.
 const MOST_TURNED_AWAY: u32 = 3;
 
-/// What has become of a call so far.
+/// Results of the attempts made for a call so far.
 #[derive(Debug, Default)]
 struct PlainProgress {
     tried: Vec<EndpointName>,
-    /// Sends after which an endpoint may have run the call.
+    /// Number of attempts after which an endpoint may have run the call.
     ran: u32,
     turned_away: u32,
 }
 
-/// Answers a call.
+/// Answers a call, and logs the endpoint and the duration.
 pub(super) async fn answer(call: OpenCall) -> Response<ResponseBody> {
     match run(&call).await {
         Ok((response, endpoint)) => {
@@ -99,7 +100,7 @@
 }
 
 impl PlainProgress {
-    /// Refuses the call, and promises that it has not run only where that is certain.
+    /// Returns the refusal of the call. It states that the call has not run only if that is certain.
     const fn give_up(&self, reason: &'static str, retry_after: std::time::Duration) -> CallRefusal {
         if self.ran == 0 {
             not_run(reason, retry_after)
@@ -117,7 +118,8 @@
     }
 }
 
-/// Tells whether a failure that an endpoint reports is better tried elsewhere than passed on.
+/// Returns true if the endpoint answered with a server error and the call is to be retried at another endpoint. Takes the
+/// retry from the service's retry limit.
 fn may_go_elsewhere(call: &OpenCall, progress: &PlainProgress, chosen: &ChosenEndpoint, reply: &EndpointReply) -> bool {
     let failed = reply.response.status().is_server_error();
     if !failed || !call.route().kind.may_repeat() || progress.ran + 1 >= call.route().max_attempts {
@@ -135,7 +137,7 @@
     goes_on
 }
 
-/// Reads the rest of an answer that is not passed on, so that its connection can be used again.
+/// Reads a discarded answer to its end, so that its connection can be reused.
 async fn discard(call: &OpenCall, reply: EndpointReply) {
     let reading = read_whole(reply.response.into_body());
     if let Ok(Some(_)) = tokio::time::timeout(DISCARD_TIME, reading).await {
@@ -199,7 +201,7 @@
     Some(whole.freeze())
 }
 
-/// Puts an endpoint's status, headers and body together for the caller.
+/// Builds the response to the caller.
 pub(super) fn assemble(status: StatusCode, headers: hyper::HeaderMap, body: ResponseBody) -> Response<ResponseBody> {
     let mut response = Response::new(body);
     *response.status_mut() = status;
