--- a/crates/acacia-entry/src/serving/stream_body.rs
+++ b/crates/acacia-entry/src/serving/stream_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer on its way to the caller, at the caller's own speed.
+//! Response bodies that are streamed from an endpoint to the caller, with backpressure from the caller.
 
 use acacia_http::ResponseBody;
 use acacia_runtime::clock::boot_now;
@@ -15,8 +15,8 @@
 use super::shared::LoadGuard;
 use super::stream_call::{OpenStream, StreamRun};
 
-/// Passes a large body on as it arrives. A body that breaks off breaks the caller's connection, so that it cannot be
-/// taken for whole.
+/// Streams a large body as it arrives. If it breaks off, the caller's connection is broken too, so that the caller cannot
+/// take the body for complete.
 pub(super) fn pass_through(
     call: &OpenCall,
     incoming: Incoming,
@@ -45,18 +45,18 @@
     StreamBody::new(frames).boxed_unsync()
 }
 
-/// What a stream passes through.
+/// State of an event stream to the caller.
 #[derive(Debug)]
 struct EventState {
     run: StreamRun,
-    /// The engine that streams; nothing while another one is looked for.
+    /// Stream of the current engine, or `None` while another engine is being chosen.
     stream: Option<OpenStream>,
     cutter: EventSplitter,
     last_id: Option<u64>,
     events: usize,
 }
 
-/// Passes events on as they arrive, and lets another engine go on where one breaks off.
+/// Streams events as they arrive. If an engine breaks off, resumes the stream at another one.
 pub(super) fn stream_events(run: StreamRun, stream: OpenStream) -> ResponseBody {
     let state = EventState {
         last_id: run.call.head.resume_after,
@@ -82,7 +82,7 @@
 #[derive(Debug)]
 enum Piece {
     Events(Bytes),
-    /// What is left when the answer has ended.
+    /// Bytes that were left without an event terminator when the answer ended.
     Last(Bytes),
     Broken,
 }
@@ -129,9 +129,9 @@
         self.last_id = last_id.or(self.last_id);
     }
 
-    /// Lets another engine go on after the last whole event; tells whether one does.
+    /// Resumes the stream at another engine after the last complete event. Returns true if that succeeded.
     async fn go_on(&mut self, reason: &str) -> bool {
-        // Closed before another engine is asked: one that is only slow would otherwise work on beside it.
+        // Closed before another engine is asked: an engine that is merely slow would otherwise keep working on the call.
         let Some(OpenStream { endpoint, .. }) = self.stream.take() else {
             return false;
         };
--- a/crates/acacia-entry/src/serving/stream_call.rs
+++ b/crates/acacia-entry/src/serving/stream_call.rs
@@ -1,4 +1,4 @@
-//! Calls whose answer is a stream of events.
+//! Calls that are answered with an event stream.
 
 use std::time::Duration;
 
@@ -23,28 +23,30 @@
 use super::shared::LoadGuard;
 use super::stream_body::stream_events;
 
-/// Most engines that are asked in vain before a call is given up.
+/// Number of rejections by engines that a call tolerates before it is given up.
 const MOST_TURNED_AWAY: u32 = 3;
-/// Most engines that are not reached before a call is given up: each of them costs a connection attempt.
+/// Number of unreachable engines that a call tolerates before it is given up. Each of them costs a connection attempt.
 const MOST_UNREACHED: u32 = 8;
-/// Which part of the time after which a caller leaves an engine may be silent before another one goes on.
+/// Fraction of the route's event timeout for which an engine may be silent before the stream is resumed at another one.
+/// After the whole timeout, the caller disconnects.
 const SILENCE_PART: f64 = 0.6;
 
-/// How many times the silence after which an engine is doubted it may be silent before another one goes on.
+/// Multiple of the suspicion timeout that an engine may take to begin its answer before the call is retried at another
+/// one.
 const GIVE_UP_FACTOR: f64 = 2.0;
 
-/// A call with what its sends have come to.
+/// Call with the results of the attempts made so far.
 #[derive(Debug)]
 pub(super) struct StreamRun {
     pub(super) call: OpenCall,
-    /// Sends after which an engine may have begun to make tokens.
+    /// Number of attempts after which an engine may have begun to decode.
     ran: u32,
     turned_away: u32,
     unreached: u32,
     reads: u32,
 }
 
-/// An engine that makes the tokens of a call.
+/// Answer of the engine that decodes a call, with the load that the call puts on the engine.
 #[derive(Debug)]
 pub(super) struct OpenStream {
     pub(super) endpoint: EndpointName,
@@ -55,7 +57,7 @@
     pub(super) guard: LoadGuard,
 }
 
-/// Answers a call.
+/// Answers a call with an event stream, which is resumed from the caller's last event if the caller sent one.
 pub(super) async fn answer(call: OpenCall) -> Response<ResponseBody> {
     let mut run = StreamRun {
         call,
@@ -68,7 +70,7 @@
     match run.open(resume_after).await {
         Ok(stream) => {
             let mut headers = run.call.shared.codec.caller_headers(&stream.headers);
-            // The stream may go on at another engine, whose part has another length.
+            // If the stream is resumed at another engine, its total length differs.
             headers.remove(CONTENT_LENGTH);
             slog::info!(run.call.shared.log, "stream begun"; "event" => event::CALL_ENDED,
                 "request" => &run.call.head.request, "route" => &run.call.route().name,
@@ -81,7 +83,7 @@
 }
 
 impl StreamRun {
-    /// Tells whether another engine may go on with the call.
+    /// Returns true if the call may be sent to another engine. Takes the retry from the service's retry limit.
     pub(super) fn may_go_on(&self) -> bool {
         let now = boot_now();
         self.call.route().kind.may_repeat()
@@ -90,7 +92,7 @@
             && self.call.shared.spend_send(now, &self.call.service)
     }
 
-    /// Returns how long an engine may be silent.
+    /// Returns the time for which the engine may send nothing.
     pub(super) fn silence_bound(&self) -> Duration {
         let left = self.call.until.since(boot_now());
         // A stream that nobody else can continue is waited for as long as its caller may be waiting.
@@ -101,8 +103,8 @@
         }
     }
 
-    /// Returns how long an engine may be silent before it begins to answer. Another engine that is known to be usually
-    /// faster by far goes on in its place.
+    /// Returns the time that an engine may take to begin its answer. It is shorter than the silence bound if the service's
+    /// usual time to first answer is known and the call can be retried elsewhere.
     fn first_answer_bound(&self, doubt_after: Option<Duration>) -> Duration {
         let bound = self.silence_bound();
         let may_go_on = self.call.route().kind.may_repeat() && self.ran + 1 < self.call.route().max_attempts;
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Finds an engine that makes the tokens after an event.
+    /// Opens a stream that begins after the event `resume_after`, or at the beginning. Tries several engines if necessary.
     pub(super) async fn open(&mut self, resume_after: Option<u64>) -> Result<OpenStream, CallRefusal> {
         let mut tried: Vec<EndpointName> = Vec::new();
         let mut read: Option<ReadPrompt> = None;
@@ -162,7 +164,8 @@
                 AttemptOutcome::NotRun { arrived: true } => {
                     self.turned_away += 1;
                     if self.turned_away > 1 {
-                        // One engine may be full or leaving; when a second one refuses, what was read is probably gone.
+                        // A single rejection may mean that the engine is full or stopping. After a second one, the
+                        // prefilled prompt is probably gone.
                         read = None;
                     }
                     let may_ask = self.call.shared.spend_send(boot_now(), &self.call.service);
@@ -187,7 +190,7 @@
         }
     }
 
-    /// Has the prompt read where the service's engines share the work by stages.
+    /// Has the prompt prefilled if the service has separate engines for it and the prompt is long enough to gain by it.
     async fn read_if_split(&mut self) -> Result<Option<ReadPrompt>, CallRefusal> {
         let Some(prompt) = &self.call.head.prompt else {
             return Ok(None);
@@ -200,7 +203,7 @@
         self.reads += 1;
         match read_prompt(&self.call, prompt, repeated).await {
             Ok(read) => Ok(Some(read)),
-            // Once an engine may have run the call, "not run" is no longer true.
+            // An earlier attempt may have run the call, so `NotRun` would be false.
             Err(CallRefusal::NotRun { .. }) if self.ran > 0 => Err(CallRefusal::AnswerLost),
             Err(refusal) => Err(refusal),
         }
