--- a/crates/acacia-entry/src/serving/shared.rs
+++ b/crates/acacia-entry/src/serving/shared.rs
@@ -1,4 +1,4 @@
-//! What all calls of an entry look at.
+//! State that all calls and sessions of an entry share.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -33,21 +33,22 @@
 
 use super::codec::CallCodec;
 
-/// Which part of the time within which a withdrawn key must stop working an entry serves without a confirmation. The
-/// rest covers a call that is on its way to an endpoint when the lease ends.
+/// Length of the lease as a fraction of the time within which a withdrawn key must stop working. The rest covers calls
+/// that are on their way to an endpoint when the lease ends.
 const LEASE_PART: f64 = 0.75;
-/// How long an unused connection to an endpoint is kept that does not say how long it keeps it. An entry that sends a few
-/// calls a second to a hundred endpoints comes back to each within this time; each new connection costs both sides.
+/// Time for which an idle connection is kept if the endpoint does not announce a time of its own. An entry that spreads a
+/// few calls per second over a hundred endpoints reuses each connection within this time. A new connection costs both
+/// sides.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(45);
-/// How long the kernel may go on delivering to an endpoint that does not acknowledge.
+/// Time for which sent data may remain unacknowledged before the kernel closes the connection to an endpoint.
 const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// How long a connection attempt to an endpoint may take: in one region it takes milliseconds, and a lost packet is sent
-/// again only after a second, which another endpoint does not need.
+/// Time limit for connecting to an endpoint. Within a region this takes milliseconds. A lost packet is retransmitted only
+/// after a second, by which time another endpoint can have answered.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// How many windows of counts are repeated to the leader: those that may still be open.
 const KEPT_WINDOWS: u64 = 4;
 
-/// What callers asked of a service since the leader was last told.
+/// Demand for a service since the last report to the leader.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct DemandCount {
     pub(super) calls: u64,
@@ -56,21 +57,21 @@
     pub(super) wait_us: u64,
 }
 
-/// What changes.
+/// Mutable state of the entry: the configuration, the endpoints, and the counters for the next report.
 #[derive(Debug, Default)]
 pub(super) struct EntryView {
     pub(super) index: Option<Arc<ConfigIndex>>,
-    /// The configuration that `index` was made of.
+    /// Configuration from which `index` was built.
     pub(super) held: ConfigDocument,
     pub(super) standing: ConfigFreshness,
     pub(super) registry: EndpointRegistry,
-    /// Whether a replica has told all endpoints that it knows.
+    /// True once a replica has sent the endpoints that it knows.
     pub(super) heard_endpoints: bool,
     pub(super) loads: LoadTable,
     pub(super) entries: u32,
     pub(super) starts: StartCounts,
     pub(super) clock: GroupClock,
-    /// What engines have read for this entry and for others.
+    /// Announcements of the prompt parts that engines have cached.
     pub(super) kept_news: KeptNews,
     pub(super) demands: BTreeMap<ServiceName, DemandCount>,
     paces: BTreeMap<ServiceName, ReadingPace>,
@@ -79,13 +80,13 @@
 }
 
 impl EntryView {
-    /// Returns what the engines of a service can hold.
+    /// Returns the specification of a service's engines, if the configuration has one.
     pub(super) fn engine(&self, service: &ServiceName) -> Option<EngineSpec> {
         let spec = self.index.as_ref()?.config().services.get(service)?;
         spec.engine
     }
 
-    /// Forgets endpoints that nothing was heard of for long, with what they kept.
+    /// Removes endpoints that have not reported for a long time, and the announcements of what they have cached.
     pub(super) fn forget_silent(&mut self, now: BootTime) {
         let Self {
             registry, kept_news, ..
@@ -94,7 +95,7 @@
         kept_news.retain(|engine| registry.get(engine).is_some());
     }
 
-    /// Takes what an engine keeps that it has read for another entry.
+    /// Records that an engine has cached a part that it prefilled for another entry.
     pub(super) fn hear_kept(&mut self, kept: &KeptPart) {
         let Some(endpoint) = self.registry.get(&kept.engine) else {
             return;
@@ -105,30 +106,31 @@
         self.loads.note_read(&kept.engine, &[kept.part], memory);
     }
 
-    /// Notes how long an engine of a service took for a prompt.
+    /// Records how long an engine took to prefill a prompt.
     pub(super) fn note_reading(&mut self, service: &ServiceName, engine: &EndpointName, reading: ReadingTime) {
         let usual = self.own_pace(service);
         self.loads.note_reading(engine, reading, usual);
         self.paces.entry(service.clone()).or_default().note(reading);
     }
 
-    /// Notes how long an engine of a service took until it began to make tokens.
+    /// Records how long a decode engine took to begin its answer.
     pub(super) fn note_first_answer(&mut self, service: &ServiceName, took: Duration) {
         self.answer_paces.entry(service.clone()).or_default().note(took);
     }
 
-    /// Returns after which silence an engine of a service that makes tokens is doubted.
+    /// Returns the time without an answer after which a decode engine of a service is suspected, if it is known.
     pub(super) fn doubt_after(&self, service: &ServiceName) -> Option<Duration> {
         self.answer_paces.get(service)?.doubt_after()
     }
 
-    /// Returns how many milliseconds a service's engines take for a token of a prompt by themselves, if that was measured.
+    /// Returns the prefill time per prompt token of a service's engines in milliseconds, without time in the queue, or
+    /// `None` before the first measurement.
     pub(super) fn own_pace(&self, service: &ServiceName) -> Option<f64> {
         self.paces.get(service).and_then(|pace| pace.get())
     }
 }
 
-/// What the tasks of an entry share.
+/// State shared by the tasks of an entry.
 #[derive(Debug)]
 pub(super) struct EntryShared {
     pub(super) settings: ServingEntrySettings,
@@ -136,17 +138,18 @@
     pub(super) codec: Arc<dyn CallCodec>,
     pub(super) client: EndpointClient,
     pub(super) log: Logger,
-    /// Cancelled once the process is to stop: it takes calls on, but asks callers to go elsewhere.
+    /// Cancelled when the process is asked to stop. The entry still accepts calls, but answers with
+    /// `Connection: close`, so that callers go to other entries.
     pub(super) leaving: CancellationToken,
     started_at: BootTime,
     stop_phase: Mutex<StopPhase>,
     lease: Arc<LeaseClock>,
-    /// Wakes the calls that wait for a lease.
+    /// Notifies the calls that wait for a lease.
     lease_extended: Notify,
     view: Mutex<EntryView>,
 }
 
-/// When the serving lease ends, in microseconds of the boot clock.
+/// End of the serving lease, in microseconds of the boot clock. It only moves forward.
 #[derive(Debug, Default)]
 struct LeaseClock(AtomicU64);
 
@@ -165,7 +168,7 @@
     }
 }
 
-/// Work that an endpoint has before it, until the value is dropped.
+/// Work that is counted as outstanding at an endpoint until the guard is dropped.
 #[derive(Debug)]
 pub(super) struct LoadGuard {
     shared: Arc<EntryShared>,
@@ -192,8 +195,8 @@
             connect_timeout: CONNECT_TIMEOUT,
             user_timeout: USER_TIMEOUT,
             idle_timeout: IDLE_TIMEOUT,
-            // A process that was frozen after it had checked the lease must not run a call for a key that was
-            // withdrawn meanwhile, so the write itself asks again.
+            // The process may be suspended after the check of the lease, and a key withdrawn meanwhile. The lease is
+            // therefore checked again with each write.
             guard: Some(WriteGuard::new(move || asked.is_valid(boot_now()))),
             ..ClientOptions::default()
         };
@@ -216,12 +219,12 @@
         self.view.lock()
     }
 
-    /// Tells whether the entry may serve at `now`.
+    /// Returns true if the entry has a valid lease at `now`.
     pub(super) fn may_serve(&self, now: BootTime) -> bool {
         self.lease.is_valid(now)
     }
 
-    /// Returns since when the entry has no lease.
+    /// Returns the period without a lease. It must be called only while the entry has none.
     pub(super) fn lease_outage(&self) -> LeaseOutage {
         let end = self.lease.end();
         if end == BootTime::default() {
@@ -231,7 +234,7 @@
         }
     }
 
-    /// Waits until the entry holds a lease, at most for `hold`.
+    /// Waits until the entry has a lease, or `hold` has passed.
     pub(super) async fn await_lease(&self, hold: Duration) {
         let waiting = async {
             loop {
@@ -242,18 +245,18 @@
                 extended.await;
             }
         };
-        // Whoever waited in vain finds that there is still no lease.
+        // After a timeout, the caller of this function checks the lease and refuses the call.
         let _in_vain = tokio::time::timeout(hold, waiting).await;
     }
 
-    /// Tells whether a call may be denied by the configuration that is held.
+    /// Returns true if the held configuration is recent enough to deny a call by it.
     pub(super) fn may_deny(&self, now: BootTime) -> bool {
         let view = self.view();
         view.standing
             .may_deny(now, view.held.number, self.settings.config_in_force)
     }
 
-    /// Extends the lease by a confirmation that was asked for at `asked_at`.
+    /// Extends the lease after the leader has confirmed it in answer to a request sent at `asked_at`.
     pub(super) fn confirm_lease(&self, asked_at: BootTime) {
         self.view().standing.record_confirmed(asked_at);
         self.lease
@@ -261,24 +264,24 @@
         self.lease_extended.notify_waiters();
     }
 
-    /// Notes that the process was asked to stop.
+    /// Records that the process was asked to stop.
     pub(super) fn ask_stop(&self, now: BootTime) {
         self.stop_phase.lock().request_stop(now);
     }
 
-    /// Tells whether a new call is taken, as far as the process is not about to end.
+    /// Returns true unless the process is so close to its end that new calls are refused.
     pub(super) fn takes_calls(&self, now: BootTime) -> bool {
         self.stop_phase.lock().accepts_calls(now)
     }
 
-    /// Tells whether callers should be sent here.
+    /// Returns true if the balancer should send callers to this entry.
     pub(super) fn is_ready(&self, now: BootTime) -> bool {
         let view = self.view();
         let knows_all = view.index.is_some() && view.heard_endpoints;
         knows_all && self.may_serve(now) && !self.leaving.is_cancelled()
     }
 
-    /// Notes a caller's request.
+    /// Records an accepted call for the retry limit and the demand of its service.
     pub(super) fn note_call(&self, now: BootTime, service: &ServiceName, prompt: Option<&PromptShape>) {
         let bound = self.bound();
         let mut view = self.view();
@@ -291,7 +294,7 @@
         demand.output_tokens += prompt.map_or(0, |prompt| prompt.output_tokens);
     }
 
-    /// Takes a second send from the budget of a service.
+    /// Acquires one retry from the retry limit of a service. Returns false if the limit is reached.
     pub(super) fn spend_send(&self, now: BootTime, service: &ServiceName) -> bool {
         let bound = self.bound();
         let mut view = self.view();
@@ -313,7 +316,7 @@
         }
     }
 
-    /// Counts a call that began to run.
+    /// Counts a call that has started for its customer's usage, in the window of the group clock.
     pub(super) fn count_start(&self, customer: Option<&CustomerName>) {
         let Some(customer) = customer else { return };
         let length = whole_millis(self.settings.usage_window).max(1);
@@ -328,7 +331,7 @@
             .remove_before(WindowNumber(window.0.saturating_sub(KEPT_WINDOWS)));
     }
 
-    /// Adds work to an endpoint until the guard is dropped.
+    /// Counts work as outstanding at an endpoint until the returned guard is dropped.
     pub(super) fn begin_work(self: &Arc<Self>, endpoint: &EndpointName, work: EndpointWork) -> LoadGuard {
         self.view().loads.begin(endpoint, work);
         LoadGuard {
@@ -338,7 +341,7 @@
         }
     }
 
-    /// Returns how many tokens the memory of a service's engines holds.
+    /// Returns the memory size of a service's engines in tokens, or 0 if the configuration has no engines for it.
     pub(super) fn engine_memory(&self, service: &ServiceName) -> u64 {
         self.view().engine(service).map_or(0, |engine| engine.memory_tokens)
     }
