--- a/crates/acacia-entry/src/serving/mod.rs
+++ b/crates/acacia-entry/src/serving/mod.rs
@@ -1,10 +1,13 @@
-//! The entry process for calls by host and path.
+//! Entry process that routes calls by host and path.
 //!
-//! A call passes `call` (lease, route, key, body), then `plain_call` or `stream_call`: the one answers with what one
-//! endpoint says, the other has a prompt read by one engine and its tokens made by another, and goes on elsewhere when
-//! an engine breaks off. `attempt` is a single send. `shared` is what all calls look at, and `choice` picks endpoints by
-//! it. `control_sessions` keeps it up to date: `renewal_message` is what the leader is told, `config_intake` and
-//! `endpoint_news` take what replicas say. What calls look like is said by a [`CallCodec`] alone.
+//! `call` checks the lease, route, key and body of a call and passes it to `plain_call` or `stream_call`. A plain call is
+//! answered by a single endpoint. The prompt of a stream call may be prefilled by one engine (`prompt_read`) and decoded by
+//! another, and the stream is resumed at another one if the engine breaks off (`stream_body`). Both send calls to endpoints
+//! by `attempt`.
+//!
+//! All calls use the state in `shared`, from which `choice` selects endpoints. `control_sessions` keeps this state up to
+//! date over its sessions with the replicas: it sends the requests of `renewal_message`, and `config_intake` and
+//! `endpoint_news` handle what the replicas send. The wire format of calls is defined by a [`CallCodec`].
 
 mod attempt;
 mod call;
--- a/crates/acacia-entry/src/serving/start.rs
+++ b/crates/acacia-entry/src/serving/start.rs
@@ -1,4 +1,4 @@
-//! Starting an entry process, and its end.
+//! Startup and shutdown of an entry process.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,27 +22,27 @@
 use super::control_sessions::SessionBoard;
 use super::shared::EntryShared;
 
-/// Most connections of callers at once; the others of the descriptors are for endpoints and replicas.
+/// Maximum number of open connections from callers. The remaining file descriptors are for endpoints and replicas.
 const CONNECTIONS: usize = 2_500;
-/// What callers may send while no configuration is known: nothing is served by it.
+/// Limits for callers before the first configuration arrives. No call is served in that time.
 const FIRST_BOUNDS: ServerBounds = ServerBounds {
     head_bytes: 64 * 1024,
     head_timeout: Duration::from_secs(15),
     connections: CONNECTIONS,
 };
-/// How long new connections are taken after the stop was asked for: the balancer asks once a second and believes two
+/// Time for which new connections are accepted after the stop request. The balancer polls once a second and acts on two
 /// answers.
 const ACCEPTING_TIME: Duration = Duration::from_millis(3_200);
-/// How much earlier than the platform kills it the process ends by itself.
+/// Time by which the process ends earlier than the platform would kill it.
 const STOP_MARGIN: Duration = Duration::from_millis(400);
-/// How often the readiness is looked at for the log.
+/// Interval at which readiness is checked for the log and silent endpoints are removed.
 const READINESS_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Runs an entry process until `stop` is cancelled and its calls have ended.
+/// Runs an entry process until `stop` is cancelled and its calls have ended or the grace period has passed.
 ///
 /// # Errors
 ///
-/// Fails when an address is taken.
+/// Fails if a listening address cannot be bound, or if no random bytes can be read.
 pub async fn start(
     settings: ServingEntrySettings,
     codec: Arc<dyn CallCodec>,
@@ -60,7 +60,8 @@
     let grace = settings.stop_grace.saturating_sub(STOP_MARGIN);
     let shared = Arc::new(EntryShared::new(settings, codec, stop.clone(), log.clone()));
     let board = Arc::new(SessionBoard::new(Arc::clone(&shared), draw_start()?, seeds));
-    // Two moments of the end: callers are asked to go elsewhere, then connections are closed.
+    // Shutdown has two steps after `stop`: `closing` closes the callers' connections once the balancer has had time to
+    // react, and `ended` stops the background tasks once the calls have ended.
     let closing = CancellationToken::new();
     let ended = CancellationToken::new();
     let background = TaskTracker::new();
@@ -100,15 +101,15 @@
     closing.cancel();
     let left = grace.saturating_sub(ACCEPTING_TIME.min(grace / 2));
     if tokio::time::timeout(left, serving).await.is_err() {
-        slog::warn!(log, "calls still run"; "event" => event::STOP_OVERDUE);
+        slog::warn!(log, "stopping with calls still running"; "event" => event::STOP_OVERDUE);
     }
     ended.cancel();
     slog::info!(log, "entry stopped"; "event" => event::STOPPED);
     Ok(())
 }
 
-/// Draws what identifies this start. A clock would not do: hosts that start together read the same time, and the counts
-/// of one would pass for those of another.
+/// Returns a random identifier of this start of the process. A timestamp is not unique: hosts that start together may
+/// read the same time, and the counts of one would be taken for those of another.
 fn draw_start() -> anyhow::Result<u64> {
     let mut bytes = [0; 8];
     getrandom::fill(&mut bytes).context("failed to read random bytes")?;
@@ -121,7 +122,7 @@
     };
     let bounds = index.config().limits;
     ServerBounds {
-        // The exact size is checked with the head in hand, where it is answered as too large.
+        // The codec checks the exact limit once the head has been read, so that the caller gets a proper refusal.
         head_bytes: FIRST_BOUNDS.head_bytes.max(2 * bounds.head_bytes),
         head_timeout: bounds.idle_timeout.max(bounds.head_timeout),
         connections: CONNECTIONS,
