--- a/crates/acacia-entry/src/serving/attempt.rs
+++ b/crates/acacia-entry/src/serving/attempt.rs
@@ -123,7 +123,7 @@
     let mut request = call
         .shared
         .codec
-        .attempt_head(&call.parts, &attempt)
+        .write_attempt_head(&call.parts, &attempt)
         .map(|()| Full::new(call.body.clone()));
     if !call.body.is_empty() || call.parts.headers.contains_key(CONTENT_LENGTH) {
         request.headers_mut().insert(CONTENT_LENGTH, call.body.len().into());
@@ -155,7 +155,7 @@
             (outcome, failure.to_string())
         }
         Ok(Ok(answer)) => {
-            let head = call.shared.codec.read_answer(answer.response.headers());
+            let head = call.shared.codec.read_answer_head(answer.response.headers());
             let status = answer.response.status();
             if head
                 .request
--- a/crates/acacia-entry/src/serving/call.rs
+++ b/crates/acacia-entry/src/serving/call.rs
@@ -19,7 +19,7 @@
 use hyper::http::request::Parts;
 use hyper::{Request, Response};
 
-use super::codec::{CallHead, HeadFault};
+use super::codec::{CallHead, HeadError};
 use super::refusal::{CallRefusal, SOON, not_run};
 use super::shared::EntryShared;
 use super::{plain_call, stream_call};
@@ -103,7 +103,7 @@
     let Ok(head) = shared.codec.read_head(parts, usize::MAX) else {
         return;
     };
-    let until = head.patience.map(|patience| received_at + patience);
+    let until = head.timeout.map(|timeout| received_at + timeout);
     let Some(hold) = until.and_then(|until| shared.lease_outage().hold_time(received_at, until)) else {
         return;
     };
@@ -127,17 +127,17 @@
     }
     let now = boot_now();
     let index = shared.view().index.clone();
-    let largest_head = index
+    let max_head_bytes = index
         .as_ref()
         .map_or(usize::MAX, |index| index.config().limits.head_bytes);
-    let head = shared.codec.read_head(&parts, largest_head);
+    let head = shared.codec.read_head(&parts, max_head_bytes);
     let Some(index) = index.filter(|_| shared.may_serve(now)) else {
         let wait = shared.lease_outage().retry_after(now);
         return Err((head.ok(), not_run("no lease", wait)));
     };
     let head = head.map_err(|fault| match fault {
-        HeadFault::Malformed(reason) => (None, CallRefusal::BadHead(reason)),
-        HeadFault::TooLarge => (None, CallRefusal::HeadTooLarge),
+        HeadError::Malformed(reason) => (None, CallRefusal::BadHead(reason)),
+        HeadError::TooLarge => (None, CallRefusal::HeadTooLarge),
     })?;
     if !shared.takes_calls(now) {
         return Err((Some(head), not_run("entry is stopping", SOON)));
@@ -151,11 +151,11 @@
         Err(AccessRefusal::NoRoute) => return Err((Some(head), CallRefusal::NoRoute)),
         Err(AccessRefusal::UnknownKey) => return Err((Some(head), CallRefusal::UnknownKey)),
     };
-    let patience = head
-        .patience
+    let timeout = head
+        .timeout
         .unwrap_or(admitted.route.timeout)
         .min(admitted.route.timeout);
-    let body = match read_body(body, bounds.body_bytes, patience).await {
+    let body = match read_body(body, bounds.body_bytes, timeout).await {
         Ok(body) => body,
         Err(BodyRefusal::TooLarge) => return Err((Some(head), CallRefusal::BodyTooLarge)),
         Err(BodyRefusal::TimedOut | BodyRefusal::Broken) => return Err((Some(head), CallRefusal::BodyLate)),
@@ -173,7 +173,7 @@
         admitted,
         service,
         received_at,
-        until: received_at + patience,
+        until: received_at + timeout,
         draw,
     })
 }
--- a/crates/acacia-entry/src/serving/codec.rs
+++ b/crates/acacia-entry/src/serving/codec.rs
@@ -27,7 +27,7 @@
     /// API key of the caller.
     pub key: Option<String>,
     /// Time for which the caller waits for the answer.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// Shape of the prompt, if the call is for a model.
     pub prompt: Option<PromptShape>,
     /// Identifier of the last event that the caller has received, if it resumes a stream.
@@ -36,7 +36,7 @@
 
 /// Reason for which a request head is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HeadFault {
+pub enum HeadError {
     /// The named field is missing or malformed.
     Malformed(&'static str),
     /// The head is larger than callers may send.
@@ -96,19 +96,19 @@
     ///
     /// # Errors
     ///
-    /// Fails if the head is malformed or larger than `largest_head` bytes.
-    fn read_head(&self, parts: &Parts, largest_head: usize) -> Result<CallHead, HeadFault>;
+    /// Fails if the head is malformed or larger than `max_head_bytes` bytes.
+    fn read_head(&self, parts: &Parts, max_head_bytes: usize) -> Result<CallHead, HeadError>;
     /// Writes the request head of an attempt: the caller's head, in which the headers reserved for the entry are replaced
     /// by its own.
-    fn attempt_head(&self, parts: &Parts, attempt: &AttemptHead<'_>) -> Request<()>;
+    fn write_attempt_head(&self, parts: &Parts, attempt: &AttemptHead<'_>) -> Request<()>;
     /// Reads the head of an endpoint's answer.
-    fn read_answer(&self, headers: &HeaderMap) -> AnswerHead;
+    fn read_answer_head(&self, headers: &HeaderMap) -> AnswerHead;
     /// Returns the headers of an answer without those that concern only the connection to the endpoint.
-    fn caller_headers(&self, headers: &HeaderMap) -> HeaderMap;
+    fn filter_answer_headers(&self, headers: &HeaderMap) -> HeaderMap;
     /// Reads the handle of the prefilled prompt from the body of an answer to [`AttemptRole::ReadPrompt`].
     fn read_prompt_handle(&self, body: &[u8]) -> Option<String>;
     /// Returns the method and path of the request that frees an unused handle.
-    fn free_handle(&self, handle: &str) -> (Method, String);
+    fn free_handle_request(&self, handle: &str) -> (Method, String);
     /// Writes the response to a refused call. `request` is the identifier of the request, if it could be read.
     fn write_refusal(&self, request: Option<&str>, refusal: &CallRefusal) -> Response<ResponseBody>;
     /// Parses a configuration document.
--- a/crates/acacia-entry/src/serving/mod.rs
+++ b/crates/acacia-entry/src/serving/mod.rs
@@ -25,6 +25,6 @@
 mod stream_body;
 mod stream_call;
 
-pub use codec::{AnswerHead, AttemptHead, AttemptRole, CallCodec, CallHead, HeadFault};
+pub use codec::{AnswerHead, AttemptHead, AttemptRole, CallCodec, CallHead, HeadError};
 pub use refusal::CallRefusal;
 pub use start::start;
--- a/crates/acacia-entry/src/serving/plain_call.rs
+++ b/crates/acacia-entry/src/serving/plain_call.rs
@@ -162,7 +162,7 @@
 ) -> Option<Response<ResponseBody>> {
     let EndpointReply { response, connection } = reply;
     let (parts, incoming) = response.into_parts();
-    let headers = call.shared.codec.caller_headers(&parts.headers);
+    let headers = call.shared.codec.filter_answer_headers(&parts.headers);
     call.shared.count_start(call.customer());
     let (status, length) = (parts.status, content_length(&parts.headers));
     if length.is_some_and(|length| length > WHOLE_BYTES) {
--- a/crates/acacia-entry/src/serving/prompt_read.rs
+++ b/crates/acacia-entry/src/serving/prompt_read.rs
@@ -62,7 +62,7 @@
         if self.is_taken {
             return;
         }
-        let (method, path) = self.shared.codec.free_handle(&self.handle);
+        let (method, path) = self.shared.codec.free_handle_request(&self.handle);
         let (shared, address) = (Arc::clone(&self.shared), self.address);
         let request = Request::builder()
             .method(method)
--- a/crates/acacia-entry/src/serving/stream_call.rs
+++ b/crates/acacia-entry/src/serving/stream_call.rs
@@ -69,7 +69,7 @@
     let resume_after = run.call.head.resume_after;
     match run.open(resume_after).await {
         Ok(stream) => {
-            let mut headers = run.call.shared.codec.caller_headers(&stream.headers);
+            let mut headers = run.call.shared.codec.filter_answer_headers(&stream.headers);
             // If the stream is resumed at another engine, its total length differs.
             headers.remove(CONTENT_LENGTH);
             slog::info!(run.call.shared.log, "stream begun"; "event" => event::CALL_ENDED,
