--- a/crates/acacia-entry/src/serving/call.rs
+++ b/crates/acacia-entry/src/serving/call.rs
@@ -20,7 +20,7 @@
 use hyper::{Request, Response};
 
 use super::codec::{CallHead, HeadError};
-use super::refusal::{CallRefusal, SOON, not_run};
+use super::refusal::{CallRefusal, SHORT_RETRY_DELAY, not_run};
 use super::shared::EntryShared;
 use super::{plain_call, stream_call};
 
@@ -140,13 +140,13 @@
         HeadError::TooLarge => (None, CallRefusal::HeadTooLarge),
     })?;
     if !shared.takes_calls(now) {
-        return Err((Some(head), not_run("entry is stopping", SOON)));
+        return Err((Some(head), not_run("entry is stopping", SHORT_RETRY_DELAY)));
     }
     let bounds = index.config().limits;
     let admitted = match index.admit(&head.host, &head.path, head.key.as_deref()) {
         Ok(admitted) => admitted,
         Err(_refusal) if !shared.may_deny(now) => {
-            return Err((Some(head), not_run("configuration is not confirmed", SOON)));
+            return Err((Some(head), not_run("configuration is not confirmed", SHORT_RETRY_DELAY)));
         }
         Err(AccessRefusal::NoRoute) => return Err((Some(head), CallRefusal::NoRoute)),
         Err(AccessRefusal::UnknownKey) => return Err((Some(head), CallRefusal::UnknownKey)),
--- a/crates/acacia-entry/src/serving/plain_call.rs
+++ b/crates/acacia-entry/src/serving/plain_call.rs
@@ -16,7 +16,7 @@
 use super::call::{OpenCall, refuse};
 use super::choice::ChosenEndpoint;
 use super::codec::AttemptRole;
-use super::refusal::{CallRefusal, NO_ENDPOINT, SOON, not_run};
+use super::refusal::{CallRefusal, NO_ENDPOINT_RETRY_DELAY, SHORT_RETRY_DELAY, not_run};
 use super::shared::LoadGuard;
 use super::stream_body::pass_through;
 
@@ -58,7 +58,7 @@
         let now = boot_now();
         let chosen = call.shared.choose_plain(now, &call.service, &progress.tried, call.draw);
         let Some(chosen) = chosen else {
-            return Err(progress.give_up("no endpoint", NO_ENDPOINT));
+            return Err(progress.give_up("no endpoint", NO_ENDPOINT_RETRY_DELAY));
         };
         let guard = call.shared.begin_work(&chosen.name, one_call());
         let patience = SendPatience {
@@ -84,7 +84,7 @@
                 progress.turned_away += 1;
                 let is_free = !arrived || call.shared.spend_send(boot_now(), &call.service);
                 if progress.turned_away > MOST_TURNED_AWAY || !is_free {
-                    return Err(progress.give_up("turned away", SOON));
+                    return Err(progress.give_up("turned away", SHORT_RETRY_DELAY));
                 }
             }
             AttemptOutcome::Lost => {
--- a/crates/acacia-entry/src/serving/prompt_read.rs
+++ b/crates/acacia-entry/src/serving/prompt_read.rs
@@ -22,7 +22,7 @@
 use super::call::OpenCall;
 use super::choice::{ChosenEndpoint, ChosenReader};
 use super::codec::AttemptRole;
-use super::refusal::{CallRefusal, NO_ENDPOINT, SOON, not_run};
+use super::refusal::{CallRefusal, NO_ENDPOINT_RETRY_DELAY, SHORT_RETRY_DELAY, not_run};
 use super::shared::EntryShared;
 
 /// Multiple of the expected prefill time, including the queue, after which another engine is asked.
@@ -106,7 +106,7 @@
         let now = boot_now();
         let found = call.shared.choose_reader(now, &call.service, &tried, prompt);
         let Some(reader) = found else {
-            return Err(not_run("no engine reads prompts", NO_ENDPOINT));
+            return Err(not_run("no engine reads prompts", NO_ENDPOINT_RETRY_DELAY));
         };
         let left = call.until.since(now);
         let wait = reader.place.wait;
@@ -115,11 +115,11 @@
         if wait >= left {
             return Err(not_run(
                 "prompt cannot be read in time",
-                wait.clamp(SOON, SOON.max(left)),
+                wait.clamp(SHORT_RETRY_DELAY, SHORT_RETRY_DELAY.max(left)),
             ));
         }
         if arrived && !call.shared.spend_send(now, &call.service) {
-            return Err(not_run("no second send left", SOON));
+            return Err(not_run("no second send left", SHORT_RETRY_DELAY));
         }
         match read_at(call, prompt, &reader).await {
             ReadOutcome::Read(read) => return Ok(read),
@@ -131,7 +131,7 @@
         }
         tried.push(reader.engine.name);
     }
-    Err(not_run("engines did not read the prompt", SOON))
+    Err(not_run("engines did not read the prompt", SHORT_RETRY_DELAY))
 }
 
 /// Result of a prefill request to one engine.
--- a/crates/acacia-entry/src/serving/refusal.rs
+++ b/crates/acacia-entry/src/serving/refusal.rs
@@ -50,9 +50,9 @@
 }
 
 /// Retry delay of a call that this entry cannot serve now, but that another entry can, or this one soon.
-pub(super) const SOON: Duration = Duration::from_millis(250);
+pub(super) const SHORT_RETRY_DELAY: Duration = Duration::from_millis(250);
 /// Retry delay of a call for which there is no endpoint. Endpoints report once a second.
-pub(super) const NO_ENDPOINT: Duration = Duration::from_millis(700);
+pub(super) const NO_ENDPOINT_RETRY_DELAY: Duration = Duration::from_millis(700);
 
 /// Returns the refusal of a call that has not run and will not run.
 pub(super) const fn not_run(reason: &'static str, retry_after: Duration) -> CallRefusal {
--- a/crates/acacia-entry/src/serving/stream_call.rs
+++ b/crates/acacia-entry/src/serving/stream_call.rs
@@ -19,7 +19,7 @@
 use super::codec::AttemptRole;
 use super::plain_call::assemble;
 use super::prompt_read::{ReadPrompt, read_prompt};
-use super::refusal::{CallRefusal, NO_ENDPOINT, SOON, not_run};
+use super::refusal::{CallRefusal, NO_ENDPOINT_RETRY_DELAY, SHORT_RETRY_DELAY, not_run};
 use super::shared::LoadGuard;
 use super::stream_body::stream_events;
 
@@ -129,7 +129,7 @@
                 .shared
                 .choose_maker(now, &self.call.service, &tried, domain, self.call.draw);
             let Some(chosen) = chosen else {
-                return Err(self.give_up("no engine makes tokens", NO_ENDPOINT));
+                return Err(self.give_up("no engine makes tokens", NO_ENDPOINT_RETRY_DELAY));
             };
             let guard = self.call.shared.begin_work(&chosen.name, self.maker_work());
             let outcome = self.send_to(&chosen, read.as_ref(), resume_after).await;
@@ -158,7 +158,7 @@
                 AttemptOutcome::NotRun { arrived: false } => {
                     self.unreached += 1;
                     if self.unreached > MOST_UNREACHED {
-                        return Err(self.give_up("no engine was reached", SOON));
+                        return Err(self.give_up("no engine was reached", SHORT_RETRY_DELAY));
                     }
                 }
                 AttemptOutcome::NotRun { arrived: true } => {
@@ -170,7 +170,7 @@
                     }
                     let may_ask = self.call.shared.spend_send(boot_now(), &self.call.service);
                     if self.turned_away > MOST_TURNED_AWAY || !may_ask {
-                        return Err(self.give_up("turned away", SOON));
+                        return Err(self.give_up("turned away", SHORT_RETRY_DELAY));
                     }
                 }
                 AttemptOutcome::Lost | AttemptOutcome::TimedOut => {
