--- a/crates/acacia-entry/src/serving/attempt.rs
+++ b/crates/acacia-entry/src/serving/attempt.rs
@@ -20,7 +20,7 @@
 
 /// Time by which an idle connection is closed earlier than the endpoint closes it. Without it, a request could be sent
 /// while the endpoint is closing the connection.
-const KEEP_MARGIN: Duration = Duration::from_secs(1);
+const IDLE_CLOSE_MARGIN: Duration = Duration::from_secs(1);
 
 /// Result of an attempt.
 #[derive(Debug)]
@@ -54,10 +54,10 @@
 
 impl KeptConnection {
     /// Returns the connection to the pool.
-    pub(super) async fn give_back(self, call: &OpenCall) {
+    pub(super) async fn return_to_pool(self, call: &OpenCall) {
         let client = &call.shared.client;
         let now = boot_now();
-        match self.keep.map(|keep| keep.saturating_sub(KEEP_MARGIN)) {
+        match self.keep.map(|keep| keep.saturating_sub(IDLE_CLOSE_MARGIN)) {
             Some(keep) => client.give_back_for(now, self.finished, keep).await,
             None => client.give_back(now, self.finished).await,
         }
@@ -66,19 +66,19 @@
 
 /// Attempt that awaits its answer. If it is dropped before it has ended, the caller has disconnected, which is logged.
 #[derive(Debug)]
-struct WatchedSend<'call> {
+struct PendingAttempt<'call> {
     call: &'call OpenCall,
     chosen: &'call ChosenEndpoint,
     role: AttemptRole<'call>,
     sent_at: BootTime,
     /// Time limit of the attempt.
-    bound: Duration,
-    is_ended: bool,
+    give_up_after: Duration,
+    has_ended: bool,
 }
 
-impl Drop for WatchedSend<'_> {
+impl Drop for PendingAttempt<'_> {
     fn drop(&mut self) {
-        if self.is_ended {
+        if self.has_ended {
             return;
         }
         let call = self.call;
@@ -87,7 +87,7 @@
             "request" => &call.head.request, "route" => &call.route().name, "endpoint" => self.chosen.name.as_str(),
             "role" => ?self.role, "patience_ms" => whole_millis(call.until.since(call.received_at)),
             "after_ms" => whole_millis(now.since(call.received_at)),
-            "sent_ms" => whole_millis(now.since(self.sent_at)), "bound_ms" => whole_millis(self.bound),
+            "sent_ms" => whole_millis(now.since(self.sent_at)), "bound_ms" => whole_millis(self.give_up_after),
             "report" => self.chosen.endpoint.sequence);
         metrics::counter!("acacia_calls_abandoned_total").increment(1);
     }
@@ -95,12 +95,12 @@
 
 /// Time limits of an attempt.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct SendPatience {
+pub(super) struct AttemptTimeouts {
     /// Time without an answer after which the endpoint is suspected and other calls avoid it, or `None` if it is unknown
     /// how long answers usually take.
-    pub(super) doubt_after: Option<Duration>,
+    pub(super) suspect_after: Option<Duration>,
     /// Time after which the attempt is given up.
-    pub(super) bound: Duration,
+    pub(super) give_up_after: Duration,
 }
 
 /// Sends a call to an endpoint and waits for the head of the answer. Records a failure in the load table.
@@ -109,7 +109,7 @@
     chosen: &ChosenEndpoint,
     role: AttemptRole<'_>,
     resume_after: Option<u64>,
-    patience: SendPatience,
+    timeouts: AttemptTimeouts,
 ) -> AttemptOutcome {
     let sent_at = boot_now();
     let attempt = AttemptHead {
@@ -132,19 +132,19 @@
         .shared
         .client
         .send(sent_at, chosen.endpoint.address, ConnectionChoice::Pooled, request);
-    let mut watched = WatchedSend {
+    let mut pending = PendingAttempt {
         call,
         chosen,
         role,
         sent_at,
-        bound: patience.bound,
-        is_ended: false,
+        give_up_after: timeouts.give_up_after,
+        has_ended: false,
     };
     let answer = tokio::select! {
-        answer = tokio::time::timeout(patience.bound, sending) => answer,
-        never = doubt_in_time(call, chosen, sent_at, patience.doubt_after) => match never {},
+        answer = tokio::time::timeout(timeouts.give_up_after, sending) => answer,
+        never = suspect_if_silent(call, chosen, sent_at, timeouts.suspect_after) => match never {},
     };
-    watched.is_ended = true;
+    pending.has_ended = true;
     let outcome = match answer {
         Err(_elapsed) => (AttemptOutcome::TimedOut, "no answer in time".to_owned()),
         Ok(Err(failure)) => {
@@ -196,18 +196,18 @@
     outcome
 }
 
-/// Marks an endpoint as silent if it has not answered after `doubt_after`. Never completes, so that the call keeps
+/// Marks an endpoint as silent if it has not answered after `suspect_after`. Never completes, so that the call keeps
 /// waiting for the endpoint.
-async fn doubt_in_time(
+async fn suspect_if_silent(
     call: &OpenCall,
     chosen: &ChosenEndpoint,
     sent_at: BootTime,
-    doubt_after: Option<Duration>,
+    suspect_after: Option<Duration>,
 ) -> Infallible {
-    let Some(doubt_after) = doubt_after else {
+    let Some(suspect_after) = suspect_after else {
         return std::future::pending().await;
     };
-    tokio::time::sleep(doubt_after).await;
+    tokio::time::sleep(suspect_after).await;
     let now = boot_now();
     slog::info!(call.shared.log, "endpoint suspected"; "event" => event::ENDPOINT_DOUBTED,
         "request" => &call.head.request, "endpoint" => chosen.name.as_str(),
--- a/crates/acacia-entry/src/serving/plain_call.rs
+++ b/crates/acacia-entry/src/serving/plain_call.rs
@@ -12,7 +12,7 @@
 use hyper::header::CONTENT_LENGTH;
 use hyper::{Response, StatusCode};
 
-use super::attempt::{AttemptOutcome, EndpointReply, SendPatience, send};
+use super::attempt::{AttemptOutcome, AttemptTimeouts, EndpointReply, send};
 use super::call::{OpenCall, refuse};
 use super::choice::ChosenEndpoint;
 use super::codec::AttemptRole;
@@ -61,11 +61,11 @@
             return Err(progress.give_up("no endpoint", NO_ENDPOINT_RETRY_DELAY));
         };
         let guard = call.shared.begin_work(&chosen.name, one_call());
-        let patience = SendPatience {
-            doubt_after: None,
-            bound: call.until.since(now),
+        let timeouts = AttemptTimeouts {
+            suspect_after: None,
+            give_up_after: call.until.since(now),
         };
-        let outcome = send(call, &chosen, AttemptRole::Whole, None, patience).await;
+        let outcome = send(call, &chosen, AttemptRole::Whole, None, timeouts).await;
         match outcome {
             AttemptOutcome::Answered(reply) => {
                 if may_go_elsewhere(call, &progress, &chosen, &reply) {
@@ -141,7 +141,7 @@
 async fn discard(call: &OpenCall, reply: EndpointReply) {
     let reading = read_whole(reply.response.into_body());
     if let Ok(Some(_)) = tokio::time::timeout(DISCARD_TIME, reading).await {
-        reply.connection.give_back(call).await;
+        reply.connection.return_to_pool(call).await;
     }
 }
 
@@ -176,7 +176,7 @@
         call.shared.view().loads.note_failure(boot_now(), &chosen.name);
         return None;
     };
-    connection.give_back(call).await;
+    connection.return_to_pool(call).await;
     let mut view = call.shared.view();
     if status.is_server_error() {
         view.loads.note_failure(boot_now(), &chosen.name);
--- a/crates/acacia-entry/src/serving/prompt_read.rs
+++ b/crates/acacia-entry/src/serving/prompt_read.rs
@@ -18,7 +18,7 @@
 use hyper::Request;
 use hyper::header::HOST;
 
-use super::attempt::{AttemptOutcome, EndpointReply, SendPatience, send};
+use super::attempt::{AttemptOutcome, AttemptTimeouts, EndpointReply, send};
 use super::call::OpenCall;
 use super::choice::{ChosenEndpoint, ChosenReader};
 use super::codec::AttemptRole;
@@ -159,11 +159,11 @@
     let queued = call.shared.view().loads.work(&chosen.name).unread_tokens;
     let _guard = call.shared.begin_work(&chosen.name, work);
     let bound = place.wait.mul_f64(WAIT_FACTOR) + WAIT_MARGIN;
-    let patience = SendPatience {
+    let timeouts = AttemptTimeouts {
         // The engine may be busy with work of other entries that this one has not heard of, so a slow engine is not
         // suspected.
-        doubt_after: None,
-        bound: bound.min(call.until.since(began_at)),
+        suspect_after: None,
+        give_up_after: bound.min(call.until.since(began_at)),
     };
     // Recorded before the answer arrives, so that calls with the same parts go to this engine meanwhile.
     let memory = call.shared.engine_memory(&call.service);
@@ -175,7 +175,7 @@
             copy_from: copy_from.as_ref().map(|source| source.endpoint.address),
         },
         None,
-        patience,
+        timeouts,
     )
     .await;
     let reply = match outcome {
@@ -235,7 +235,7 @@
     let status = response.status();
     let body = read_body(response.into_body(), LARGEST_HANDLE, call.until.since(boot_now())).await;
     let body = body.ok()?;
-    connection.give_back(call).await;
+    connection.return_to_pool(call).await;
     let handle = status
         .is_success()
         .then(|| call.shared.codec.read_prompt_handle(&body))
--- a/crates/acacia-entry/src/serving/shared.rs
+++ b/crates/acacia-entry/src/serving/shared.rs
@@ -119,7 +119,7 @@
     }
 
     /// Returns the time without an answer after which a decode engine of a service is suspected, if it is known.
-    pub(super) fn doubt_after(&self, service: &ServiceName) -> Option<Duration> {
+    pub(super) fn suspicion_timeout(&self, service: &ServiceName) -> Option<Duration> {
         self.answer_paces.get(service)?.doubt_after()
     }
 
--- a/crates/acacia-entry/src/serving/stream_body.rs
+++ b/crates/acacia-entry/src/serving/stream_body.rs
@@ -174,6 +174,6 @@
             "after_ms" => whole_millis(boot_now().since(call.received_at)));
         call.shared.view().loads.note_success(&stream.endpoint);
         drop(stream.guard);
-        stream.connection.give_back(call).await;
+        stream.connection.return_to_pool(call).await;
     }
 }
--- a/crates/acacia-entry/src/serving/stream_call.rs
+++ b/crates/acacia-entry/src/serving/stream_call.rs
@@ -13,7 +13,7 @@
 use hyper::header::CONTENT_LENGTH;
 use hyper::{HeaderMap, Response, StatusCode};
 
-use super::attempt::{AttemptOutcome, KeptConnection, SendPatience, send};
+use super::attempt::{AttemptOutcome, AttemptTimeouts, KeptConnection, send};
 use super::call::{OpenCall, refuse};
 use super::choice::ChosenEndpoint;
 use super::codec::AttemptRole;
@@ -105,11 +105,11 @@
 
     /// Returns the time that an engine may take to begin its answer. It is shorter than the silence bound if the service's
     /// usual time to first answer is known and the call can be retried elsewhere.
-    fn first_answer_bound(&self, doubt_after: Option<Duration>) -> Duration {
+    fn first_answer_bound(&self, suspect_after: Option<Duration>) -> Duration {
         let bound = self.silence_bound();
         let may_go_on = self.call.route().kind.may_repeat() && self.ran + 1 < self.call.route().max_attempts;
-        match doubt_after {
-            Some(doubt_after) if may_go_on => bound.min(doubt_after.mul_f64(GIVE_UP_FACTOR)),
+        match suspect_after {
+            Some(suspect_after) if may_go_on => bound.min(suspect_after.mul_f64(GIVE_UP_FACTOR)),
             _ => bound,
         }
     }
@@ -219,13 +219,13 @@
             reader: read.address,
             handle: &read.handle,
         });
-        let doubt_after = self.call.shared.view().doubt_after(&self.call.service);
-        let patience = SendPatience {
-            doubt_after,
-            bound: self.first_answer_bound(doubt_after),
+        let suspect_after = self.call.shared.view().suspicion_timeout(&self.call.service);
+        let timeouts = AttemptTimeouts {
+            suspect_after,
+            give_up_after: self.first_answer_bound(suspect_after),
         };
         let sent_at = boot_now();
-        let outcome = send(&self.call, chosen, role, resume_after, patience).await;
+        let outcome = send(&self.call, chosen, role, resume_after, timeouts).await;
         if matches!(outcome, AttemptOutcome::Answered(_)) {
             let took = boot_now().since(sent_at);
             self.call.shared.view().note_first_answer(&self.call.service, took);
