--- a/crates/acacia-entry/src/serving/attempt.rs
+++ b/crates/acacia-entry/src/serving/attempt.rs
@@ -14,7 +14,7 @@
 use hyper::header::CONTENT_LENGTH;
 use hyper::{Response, StatusCode};
 
-use super::call::OpenCall;
+use super::call::AcceptedCall;
 use super::choice::ChosenEndpoint;
 use super::codec::{AttemptHead, AttemptRole};
 
@@ -54,7 +54,7 @@
 
 impl KeptConnection {
     /// Returns the connection to the pool.
-    pub(super) async fn return_to_pool(self, call: &OpenCall) {
+    pub(super) async fn return_to_pool(self, call: &AcceptedCall) {
         let client = &call.shared.client;
         let now = boot_now();
         match self.keep.map(|keep| keep.saturating_sub(IDLE_CLOSE_MARGIN)) {
@@ -67,7 +67,7 @@
 /// Attempt that awaits its answer. If it is dropped before it has ended, the caller has disconnected, which is logged.
 #[derive(Debug)]
 struct PendingAttempt<'call> {
-    call: &'call OpenCall,
+    call: &'call AcceptedCall,
     chosen: &'call ChosenEndpoint,
     role: AttemptRole<'call>,
     sent_at: BootTime,
@@ -85,7 +85,7 @@
         let now = boot_now();
         slog::info!(call.shared.log, "call abandoned"; "event" => event::CALL_ABANDONED,
             "request" => &call.head.request, "route" => &call.route().name, "endpoint" => self.chosen.name.as_str(),
-            "role" => ?self.role, "patience_ms" => whole_millis(call.until.since(call.received_at)),
+            "role" => ?self.role, "patience_ms" => whole_millis(call.deadline.since(call.received_at)),
             "after_ms" => whole_millis(now.since(call.received_at)),
             "sent_ms" => whole_millis(now.since(self.sent_at)), "bound_ms" => whole_millis(self.give_up_after),
             "report" => self.chosen.endpoint.sequence);
@@ -105,7 +105,7 @@
 
 /// Sends a call to an endpoint and waits for the head of the answer. Records a failure in the load table.
 pub(super) async fn send(
-    call: &OpenCall,
+    call: &AcceptedCall,
     chosen: &ChosenEndpoint,
     role: AttemptRole<'_>,
     resume_after: Option<u64>,
@@ -199,7 +199,7 @@
 /// Marks an endpoint as silent if it has not answered after `suspect_after`. Never completes, so that the call keeps
 /// waiting for the endpoint.
 async fn suspect_if_silent(
-    call: &OpenCall,
+    call: &AcceptedCall,
     chosen: &ChosenEndpoint,
     sent_at: BootTime,
     suspect_after: Option<Duration>,
--- a/crates/acacia-entry/src/serving/call.rs
+++ b/crates/acacia-entry/src/serving/call.rs
@@ -25,11 +25,11 @@
 use super::{plain_call, stream_call};
 
 /// Time by which the endpoint's deadline is earlier than the caller's, so that the answer can travel back.
-pub(super) const WAY_BACK: Duration = Duration::from_millis(10);
+pub(super) const ANSWER_MARGIN: Duration = Duration::from_millis(10);
 
 /// Call that has passed all checks and may be sent to an endpoint.
 #[derive(Debug)]
-pub(super) struct OpenCall {
+pub(super) struct AcceptedCall {
     pub(super) shared: Arc<EntryShared>,
     pub(super) parts: Parts,
     pub(super) head: CallHead,
@@ -38,12 +38,12 @@
     pub(super) service: ServiceName,
     pub(super) received_at: BootTime,
     /// Time by which the caller must have received the answer.
-    pub(super) until: BootTime,
+    pub(super) deadline: BootTime,
     /// Hash of the request identifier, by which calls are spread over services and endpoints.
-    pub(super) draw: u64,
+    pub(super) request_hash: u64,
 }
 
-impl OpenCall {
+impl AcceptedCall {
     pub(super) fn route(&self) -> &CallRoute {
         &self.admitted.route
     }
@@ -54,20 +54,20 @@
 
     /// Returns the time that an endpoint has left for the call.
     pub(super) fn time_left(&self, now: BootTime) -> Duration {
-        self.until.since(now + WAY_BACK)
+        self.deadline.since(now + ANSWER_MARGIN)
     }
 }
 
 /// Handles one request of a caller.
 pub(super) async fn answer(shared: Arc<EntryShared>, request: Request<Incoming>) -> Response<ResponseBody> {
     let received_at = boot_now();
-    let is_leaving = shared.leaving.is_cancelled();
-    let mut response = match open(&shared, request, received_at).await {
+    let was_stopping = shared.leaving.is_cancelled();
+    let mut response = match accept(&shared, request, received_at).await {
         Ok(call) if call.route().kind.is_stream() => stream_call::answer(call).await,
         Ok(call) => plain_call::answer(call).await,
         Err((head, refusal)) => refuse(&shared, head.as_ref(), refusal, received_at),
     };
-    if is_leaving || shared.leaving.is_cancelled() {
+    if was_stopping || shared.leaving.is_cancelled() {
         // If the caller kept the connection, the stopping entry would close it during a later request.
         response
             .headers_mut()
@@ -99,12 +99,12 @@
 }
 
 /// Waits for the first lease after the start of the entry, if the caller has sent a time limit that allows it.
-async fn hold_without_lease(shared: &EntryShared, parts: &Parts, received_at: BootTime) {
+async fn hold_for_first_lease(shared: &EntryShared, parts: &Parts, received_at: BootTime) {
     let Ok(head) = shared.codec.read_head(parts, usize::MAX) else {
         return;
     };
-    let until = head.timeout.map(|timeout| received_at + timeout);
-    let Some(hold) = until.and_then(|until| shared.lease_outage().hold_time(received_at, until)) else {
+    let deadline = head.timeout.map(|timeout| received_at + timeout);
+    let Some(hold) = deadline.and_then(|deadline| shared.lease_outage().hold_time(received_at, deadline)) else {
         return;
     };
     metrics::counter!("acacia_calls_held_total").increment(1);
@@ -116,14 +116,14 @@
 
 type RefusedCall = (Option<CallHead>, CallRefusal);
 
-async fn open(
+async fn accept(
     shared: &Arc<EntryShared>,
     request: Request<Incoming>,
     received_at: BootTime,
-) -> Result<OpenCall, RefusedCall> {
+) -> Result<AcceptedCall, RefusedCall> {
     let (parts, body) = request.into_parts();
     if !shared.may_serve(received_at) {
-        hold_without_lease(shared, &parts, received_at).await;
+        hold_for_first_lease(shared, &parts, received_at).await;
     }
     let now = boot_now();
     let index = shared.view().index.clone();
@@ -160,12 +160,12 @@
         Err(BodyRefusal::TooLarge) => return Err((Some(head), CallRefusal::BodyTooLarge)),
         Err(BodyRefusal::TimedOut | BodyRefusal::Broken) => return Err((Some(head), CallRefusal::BodyLate)),
     };
-    let draw = rendezvous::hash(head.request.as_bytes());
-    let Some(service) = admitted.route.pick_service(draw).cloned() else {
+    let request_hash = rendezvous::hash(head.request.as_bytes());
+    let Some(service) = admitted.route.pick_service(request_hash).cloned() else {
         return Err((Some(head), CallRefusal::NoRoute));
     };
     shared.note_call(boot_now(), &service, head.prompt.as_ref());
-    Ok(OpenCall {
+    Ok(AcceptedCall {
         shared: Arc::clone(shared),
         parts,
         head,
@@ -173,7 +173,7 @@
         admitted,
         service,
         received_at,
-        until: received_at + timeout,
-        draw,
+        deadline: received_at + timeout,
+        request_hash,
     })
 }
--- a/crates/acacia-entry/src/serving/choice.rs
+++ b/crates/acacia-entry/src/serving/choice.rs
@@ -32,11 +32,11 @@
         now: BootTime,
         service: &ServiceName,
         tried: &[EndpointName],
-        draw: u64,
+        request_hash: u64,
     ) -> Option<ChosenEndpoint> {
         let view = self.view();
         let candidates = untried(view.registry.ready(now, service), tried);
-        let name = place_plain(&self.placement(now, &view), &candidates, draw)?;
+        let name = place_plain(&self.placement(now, &view), &candidates, request_hash)?;
         chosen(&candidates, &name)
     }
 
@@ -80,7 +80,7 @@
         service: &ServiceName,
         tried: &[EndpointName],
         reader_domain: Option<&DomainName>,
-        draw: u64,
+        request_hash: u64,
     ) -> Option<ChosenEndpoint> {
         let memory = self.engine_memory(service);
         let view = self.view();
@@ -91,7 +91,13 @@
             candidates.retain(|(_, endpoint)| endpoint.stage.is_none());
         }
         let candidates = untried(candidates, tried);
-        let name = place_stream(&self.placement(now, &view), &candidates, memory, reader_domain, draw)?;
+        let name = place_stream(
+            &self.placement(now, &view),
+            &candidates,
+            memory,
+            reader_domain,
+            request_hash,
+        )?;
         chosen(&candidates, &name)
     }
 
--- a/crates/acacia-entry/src/serving/plain_call.rs
+++ b/crates/acacia-entry/src/serving/plain_call.rs
@@ -13,7 +13,7 @@
 use hyper::{Response, StatusCode};
 
 use super::attempt::{AttemptOutcome, AttemptTimeouts, EndpointReply, send};
-use super::call::{OpenCall, refuse};
+use super::call::{AcceptedCall, refuse};
 use super::choice::ChosenEndpoint;
 use super::codec::AttemptRole;
 use super::refusal::{CallRefusal, NO_ENDPOINT_RETRY_DELAY, SHORT_RETRY_DELAY, not_run};
@@ -39,7 +39,7 @@
 }
 
 /// Answers a call, and logs the endpoint and the duration.
-pub(super) async fn answer(call: OpenCall) -> Response<ResponseBody> {
+pub(super) async fn answer(call: AcceptedCall) -> Response<ResponseBody> {
     match run(&call).await {
         Ok((response, endpoint)) => {
             slog::info!(call.shared.log, "call answered"; "event" => event::CALL_ENDED,
@@ -52,18 +52,20 @@
     }
 }
 
-async fn run(call: &OpenCall) -> Result<(Response<ResponseBody>, EndpointName), CallRefusal> {
+async fn run(call: &AcceptedCall) -> Result<(Response<ResponseBody>, EndpointName), CallRefusal> {
     let mut progress = PlainProgress::default();
     loop {
         let now = boot_now();
-        let chosen = call.shared.choose_plain(now, &call.service, &progress.tried, call.draw);
+        let chosen = call
+            .shared
+            .choose_plain(now, &call.service, &progress.tried, call.request_hash);
         let Some(chosen) = chosen else {
             return Err(progress.give_up("no endpoint", NO_ENDPOINT_RETRY_DELAY));
         };
         let guard = call.shared.begin_work(&chosen.name, one_call());
         let timeouts = AttemptTimeouts {
             suspect_after: None,
-            give_up_after: call.until.since(now),
+            give_up_after: call.deadline.since(now),
         };
         let outcome = send(call, &chosen, AttemptRole::Whole, None, timeouts).await;
         match outcome {
@@ -120,7 +122,12 @@
 
 /// Returns true if the endpoint answered with a server error and the call is to be retried at another endpoint. Takes the
 /// retry from the service's retry limit.
-fn may_go_elsewhere(call: &OpenCall, progress: &PlainProgress, chosen: &ChosenEndpoint, reply: &EndpointReply) -> bool {
+fn may_go_elsewhere(
+    call: &AcceptedCall,
+    progress: &PlainProgress,
+    chosen: &ChosenEndpoint,
+    reply: &EndpointReply,
+) -> bool {
     let failed = reply.response.status().is_server_error();
     if !failed || !call.route().kind.may_repeat() || progress.ran + 1 >= call.route().max_attempts {
         return false;
@@ -128,7 +135,7 @@
     let now = boot_now();
     let mut tried = progress.tried.clone();
     tried.push(chosen.name.clone());
-    let other = call.shared.choose_plain(now, &call.service, &tried, call.draw);
+    let other = call.shared.choose_plain(now, &call.service, &tried, call.request_hash);
     let goes_on = other.is_some() && call.shared.spend_send(now, &call.service);
     slog::info!(call.shared.log, "endpoint failed a call"; "event" => event::ATTEMPT_FAILED,
         "request" => &call.head.request, "endpoint" => chosen.name.as_str(),
@@ -138,24 +145,24 @@
 }
 
 /// Reads a discarded answer to its end, so that its connection can be reused.
-async fn discard(call: &OpenCall, reply: EndpointReply) {
+async fn discard(call: &AcceptedCall, reply: EndpointReply) {
     let reading = read_whole(reply.response.into_body());
     if let Ok(Some(_)) = tokio::time::timeout(DISCARD_TIME, reading).await {
         reply.connection.return_to_pool(call).await;
     }
 }
 
-fn may_repeat(call: &OpenCall, progress: &PlainProgress) -> bool {
+fn may_repeat(call: &AcceptedCall, progress: &PlainProgress) -> bool {
     let now = boot_now();
     call.route().kind.may_repeat()
         && progress.ran < call.route().max_attempts
-        && now < call.until
+        && now < call.deadline
         && call.shared.spend_send(now, &call.service)
 }
 
 /// Reads a small answer whole, or begins to pass a large one on; nothing if it broke off before its end.
 async fn take_answer(
-    call: &OpenCall,
+    call: &AcceptedCall,
     chosen: &ChosenEndpoint,
     reply: EndpointReply,
     guard: LoadGuard,
@@ -169,7 +176,7 @@
         let body = pass_through(call, incoming, connection, guard);
         return Some(assemble(status, headers, body));
     }
-    let left = call.until.since(boot_now());
+    let left = call.deadline.since(boot_now());
     let Ok(Some(whole)) = tokio::time::timeout(left, read_whole(incoming)).await else {
         slog::info!(call.shared.log, "answer broke off"; "event" => event::ATTEMPT_FAILED,
             "request" => &call.head.request, "endpoint" => chosen.name.as_str());
--- a/crates/acacia-entry/src/serving/prompt_read.rs
+++ b/crates/acacia-entry/src/serving/prompt_read.rs
@@ -19,7 +19,7 @@
 use hyper::header::HOST;
 
 use super::attempt::{AttemptOutcome, AttemptTimeouts, EndpointReply, send};
-use super::call::OpenCall;
+use super::call::AcceptedCall;
 use super::choice::{ChosenEndpoint, ChosenReader};
 use super::codec::AttemptRole;
 use super::refusal::{CallRefusal, NO_ENDPOINT_RETRY_DELAY, SHORT_RETRY_DELAY, not_run};
@@ -94,7 +94,7 @@
 /// Has an engine prefill the prompt of a call. `repeated` is true if the prompt of this call was sent for prefill before,
 /// so that every attempt counts as a retry.
 pub(super) async fn read_prompt(
-    call: &OpenCall,
+    call: &AcceptedCall,
     prompt: &PromptShape,
     repeated: bool,
 ) -> Result<ReadPrompt, CallRefusal> {
@@ -108,7 +108,7 @@
         let Some(reader) = found else {
             return Err(not_run("no engine reads prompts", NO_ENDPOINT_RETRY_DELAY));
         };
-        let left = call.until.since(now);
+        let left = call.deadline.since(now);
         let wait = reader.place.wait;
         // Demand is recorded for refused calls too, because their callers retry.
         note_demand(call, &reader.place);
@@ -144,7 +144,7 @@
     Failed,
 }
 
-async fn read_at(call: &OpenCall, prompt: &PromptShape, reader: &ChosenReader) -> ReadOutcome {
+async fn read_at(call: &AcceptedCall, prompt: &PromptShape, reader: &ChosenReader) -> ReadOutcome {
     let ChosenReader {
         engine: chosen,
         place,
@@ -163,7 +163,7 @@
         // The engine may be busy with work of other entries that this one has not heard of, so a slow engine is not
         // suspected.
         suspect_after: None,
-        give_up_after: bound.min(call.until.since(began_at)),
+        give_up_after: bound.min(call.deadline.since(began_at)),
     };
     // Recorded before the answer arrives, so that calls with the same parts go to this engine meanwhile.
     let memory = call.shared.engine_memory(&call.service);
@@ -221,7 +221,7 @@
     })
 }
 
-fn note_demand(call: &OpenCall, place: &PromptPlace) {
+fn note_demand(call: &AcceptedCall, place: &PromptPlace) {
     let mut view = call.shared.view();
     let demand = view.demands.entry(call.service.clone()).or_default();
     demand.unread_tokens += place.unread_tokens;
@@ -230,10 +230,10 @@
         .max(u64::try_from(place.wait.as_micros()).unwrap_or(u64::MAX));
 }
 
-async fn take_handle(call: &OpenCall, chosen: &ChosenEndpoint, reply: EndpointReply) -> Option<String> {
+async fn take_handle(call: &AcceptedCall, chosen: &ChosenEndpoint, reply: EndpointReply) -> Option<String> {
     let EndpointReply { response, connection } = reply;
     let status = response.status();
-    let body = read_body(response.into_body(), LARGEST_HANDLE, call.until.since(boot_now())).await;
+    let body = read_body(response.into_body(), LARGEST_HANDLE, call.deadline.since(boot_now())).await;
     let body = body.ok()?;
     connection.return_to_pool(call).await;
     let handle = status
--- a/crates/acacia-entry/src/serving/stream_body.rs
+++ b/crates/acacia-entry/src/serving/stream_body.rs
@@ -11,26 +11,26 @@
 use hyper::body::{Frame, Incoming};
 
 use super::attempt::KeptConnection;
-use super::call::OpenCall;
+use super::call::AcceptedCall;
 use super::shared::LoadGuard;
 use super::stream_call::{OpenStream, StreamRun};
 
 /// Streams a large body as it arrives. If it breaks off, the caller's connection is broken too, so that the caller cannot
 /// take the body for complete.
 pub(super) fn pass_through(
-    call: &OpenCall,
+    call: &AcceptedCall,
     incoming: Incoming,
     connection: KeptConnection,
     guard: LoadGuard,
 ) -> ResponseBody {
     let log = call.shared.log.clone();
     let request = call.head.request.clone();
-    let until = call.until;
+    let deadline = call.deadline;
     let frames = stream::unfold(Some((incoming, connection, guard)), move |state| {
         let (log, request) = (log.clone(), request.clone());
         async move {
             let (mut incoming, connection, guard) = state?;
-            let left = until.since(boot_now());
+            let left = deadline.since(boot_now());
             match tokio::time::timeout(left, incoming.frame()).await {
                 Ok(Some(Ok(frame))) => Some((Ok(frame), Some((incoming, connection, guard)))),
                 Ok(None) => None,
--- a/crates/acacia-entry/src/serving/stream_call.rs
+++ b/crates/acacia-entry/src/serving/stream_call.rs
@@ -14,7 +14,7 @@
 use hyper::{HeaderMap, Response, StatusCode};
 
 use super::attempt::{AttemptOutcome, AttemptTimeouts, KeptConnection, send};
-use super::call::{OpenCall, refuse};
+use super::call::{AcceptedCall, refuse};
 use super::choice::ChosenEndpoint;
 use super::codec::AttemptRole;
 use super::plain_call::assemble;
@@ -38,7 +38,7 @@
 /// Call with the results of the attempts made so far.
 #[derive(Debug)]
 pub(super) struct StreamRun {
-    pub(super) call: OpenCall,
+    pub(super) call: AcceptedCall,
     /// Number of attempts after which an engine may have begun to decode.
     ran: u32,
     turned_away: u32,
@@ -58,7 +58,7 @@
 }
 
 /// Answers a call with an event stream, which is resumed from the caller's last event if the caller sent one.
-pub(super) async fn answer(call: OpenCall) -> Response<ResponseBody> {
+pub(super) async fn answer(call: AcceptedCall) -> Response<ResponseBody> {
     let mut run = StreamRun {
         call,
         ran: 0,
@@ -88,13 +88,13 @@
         let now = boot_now();
         self.call.route().kind.may_repeat()
             && self.ran < self.call.route().max_attempts
-            && now < self.call.until
+            && now < self.call.deadline
             && self.call.shared.spend_send(now, &self.call.service)
     }
 
     /// Returns the time for which the engine may send nothing.
     pub(super) fn silence_bound(&self) -> Duration {
-        let left = self.call.until.since(boot_now());
+        let left = self.call.deadline.since(boot_now());
         // A stream that nobody else can continue is waited for as long as its caller may be waiting.
         if self.call.route().kind.may_repeat() && self.ran < self.call.route().max_attempts {
             left.min(self.call.route().event_timeout().mul_f64(SILENCE_PART))
@@ -127,7 +127,7 @@
             let chosen = self
                 .call
                 .shared
-                .choose_maker(now, &self.call.service, &tried, domain, self.call.draw);
+                .choose_maker(now, &self.call.service, &tried, domain, self.call.request_hash);
             let Some(chosen) = chosen else {
                 return Err(self.give_up("no engine makes tokens", NO_ENDPOINT_RETRY_DELAY));
             };
