--- a/crates/acacia-entry/src/serving/attempt.rs
+++ b/crates/acacia-entry/src/serving/attempt.rs
@@ -15,8 +15,8 @@
 use hyper::{Response, StatusCode};
 
 use super::call::AcceptedCall;
-use super::choice::ChosenEndpoint;
 use super::codec::{AttemptHead, AttemptRole};
+use super::endpoint_choice::ChosenEndpoint;
 
 /// Time by which an idle connection is closed earlier than the endpoint closes it. Without it, a request could be sent
 /// while the endpoint is closing the connection.
--- a/crates/acacia-entry/src/serving/choice.rs
+++ b/crates/acacia-entry/src/serving/endpoint_choice.rs
@@ -18,7 +18,7 @@
 
 /// Engine that prefills a prompt.
 #[derive(Clone, Debug)]
-pub(super) struct ChosenReader {
+pub(super) struct ChosenPrefillEngine {
     pub(super) engine: ChosenEndpoint,
     pub(super) place: PromptPlace,
     /// Engine from which it may copy shared parts of the prompt.
@@ -27,7 +27,7 @@
 
 impl EntryShared {
     /// Chooses an endpoint for a plain call.
-    pub(super) fn choose_plain(
+    pub(super) fn choose_for_plain_call(
         &self,
         now: BootTime,
         service: &ServiceName,
@@ -35,26 +35,26 @@
         request_hash: u64,
     ) -> Option<ChosenEndpoint> {
         let view = self.view();
-        let candidates = untried(view.registry.ready(now, service), tried);
+        let candidates = without_tried(view.registry.ready(now, service), tried);
         let name = place_plain(&self.placement(now, &view), &candidates, request_hash)?;
-        chosen(&candidates, &name)
+        find_chosen(&candidates, &name)
     }
 
     /// Returns true if the service has separate engines for prefill that take calls at present.
-    pub(super) fn has_readers(&self, now: BootTime, service: &ServiceName) -> bool {
-        !of_stage(&self.view(), now, service, EngineStage::Prefill).is_empty()
+    pub(super) fn has_prefill_engines(&self, now: BootTime, service: &ServiceName) -> bool {
+        !available_of_stage(&self.view(), now, service, EngineStage::Prefill).is_empty()
     }
 
     /// Chooses an engine to prefill a prompt.
-    pub(super) fn choose_reader(
+    pub(super) fn choose_prefill_engine(
         &self,
         now: BootTime,
         service: &ServiceName,
         tried: &[EndpointName],
         prompt: &PromptShape,
-    ) -> Option<ChosenReader> {
+    ) -> Option<ChosenPrefillEngine> {
         let view = self.view();
-        let readers = untried(of_stage(&view, now, service, EngineStage::Prefill), tried);
+        let readers = without_tried(available_of_stage(&view, now, service, EngineStage::Prefill), tried);
         let mut keepers = view.registry.answering(now, service);
         keepers.retain(|(_, endpoint)| endpoint.stage == Some(EngineStage::Prefill));
         let spec = view.engine(service);
@@ -65,40 +65,40 @@
             link: spec.as_ref().and_then(|spec| spec.link.as_ref()),
         };
         let place = place_prompt(&self.placement(now, &view), &engines, prompt)?;
-        let copy_from = place.copy_from.as_ref().and_then(|name| chosen(&keepers, name));
-        Some(ChosenReader {
-            engine: chosen(&readers, &place.endpoint)?,
+        let copy_from = place.copy_from.as_ref().and_then(|name| find_chosen(&keepers, name));
+        Some(ChosenPrefillEngine {
+            engine: find_chosen(&readers, &place.endpoint)?,
             copy_from,
             place,
         })
     }
 
-    /// Chooses an engine to decode. `reader_domain` is the failure domain of the engine that prefilled the prompt.
-    pub(super) fn choose_maker(
+    /// Chooses an engine to decode. `prefill_domain` is the failure domain of the engine that prefilled the prompt.
+    pub(super) fn choose_decode_engine(
         &self,
         now: BootTime,
         service: &ServiceName,
         tried: &[EndpointName],
-        reader_domain: Option<&DomainName>,
+        prefill_domain: Option<&DomainName>,
         request_hash: u64,
     ) -> Option<ChosenEndpoint> {
         let memory = self.engine_memory(service);
         let view = self.view();
-        let mut candidates = of_stage(&view, now, service, EngineStage::Decode);
+        let mut candidates = available_of_stage(&view, now, service, EngineStage::Decode);
         if candidates.is_empty() {
             // Endpoints that report no stage both prefill and decode.
             candidates = view.registry.ready(now, service);
             candidates.retain(|(_, endpoint)| endpoint.stage.is_none());
         }
-        let candidates = untried(candidates, tried);
+        let candidates = without_tried(candidates, tried);
         let name = place_stream(
             &self.placement(now, &view),
             &candidates,
             memory,
-            reader_domain,
+            prefill_domain,
             request_hash,
         )?;
-        chosen(&candidates, &name)
+        find_chosen(&candidates, &name)
     }
 
     fn placement<'view>(&'view self, now: BootTime, view: &'view EntryView) -> PlacementView<'view> {
@@ -110,25 +110,25 @@
     }
 }
 
-type Row<'view> = (&'view EndpointName, &'view ServingEndpoint);
+type EndpointRow<'view> = (&'view EndpointName, &'view ServingEndpoint);
 
-fn of_stage<'view>(
+fn available_of_stage<'view>(
     view: &'view EntryView,
     now: BootTime,
     service: &'view ServiceName,
     stage: EngineStage,
-) -> Vec<Row<'view>> {
+) -> Vec<EndpointRow<'view>> {
     let mut rows = view.registry.ready(now, service);
     rows.retain(|(name, endpoint)| endpoint.stage == Some(stage) && !view.loads.is_resting(now, name, endpoint));
     rows
 }
 
-fn untried<'view>(mut rows: Vec<Row<'view>>, tried: &[EndpointName]) -> Vec<Row<'view>> {
+fn without_tried<'view>(mut rows: Vec<EndpointRow<'view>>, tried: &[EndpointName]) -> Vec<EndpointRow<'view>> {
     rows.retain(|(name, _)| !tried.contains(name));
     rows
 }
 
-fn chosen(rows: &[Row<'_>], name: &EndpointName) -> Option<ChosenEndpoint> {
+fn find_chosen(rows: &[EndpointRow<'_>], name: &EndpointName) -> Option<ChosenEndpoint> {
     let row = rows.iter().find(|(known, _)| *known == name)?;
     Some(ChosenEndpoint {
         name: row.0.clone(),
--- a/crates/acacia-entry/src/serving/mod.rs
+++ b/crates/acacia-entry/src/serving/mod.rs
@@ -5,16 +5,16 @@
 //! another, and the stream is resumed at another one if the engine breaks off (`stream_body`). Both send calls to endpoints
 //! by `attempt`.
 //!
-//! All calls use the state in `shared`, from which `choice` selects endpoints. `control_sessions` keeps this state up to
+//! All calls use the state in `shared`, from which `endpoint_choice` selects endpoints. `control_sessions` keeps this state up to
 //! date over its sessions with the replicas: it sends the requests of `renewal_message`, and `config_intake` and
 //! `endpoint_news` handle what the replicas send. The wire format of calls is defined by a [`CallCodec`].
 
 mod attempt;
 mod call;
-mod choice;
 mod codec;
 mod config_intake;
 mod control_sessions;
+mod endpoint_choice;
 mod endpoint_news;
 mod plain_call;
 mod prompt_read;
--- a/crates/acacia-entry/src/serving/plain_call.rs
+++ b/crates/acacia-entry/src/serving/plain_call.rs
@@ -14,8 +14,8 @@
 
 use super::attempt::{AttemptOutcome, AttemptTimeouts, EndpointReply, send};
 use super::call::{AcceptedCall, refuse};
-use super::choice::ChosenEndpoint;
 use super::codec::AttemptRole;
+use super::endpoint_choice::ChosenEndpoint;
 use super::refusal::{CallRefusal, NO_ENDPOINT_RETRY_DELAY, SHORT_RETRY_DELAY, not_run};
 use super::shared::LoadGuard;
 use super::stream_body::pass_through;
@@ -58,7 +58,7 @@
         let now = boot_now();
         let chosen = call
             .shared
-            .choose_plain(now, &call.service, &progress.tried, call.request_hash);
+            .choose_for_plain_call(now, &call.service, &progress.tried, call.request_hash);
         let Some(chosen) = chosen else {
             return Err(progress.give_up("no endpoint", NO_ENDPOINT_RETRY_DELAY));
         };
@@ -135,7 +135,9 @@
     let now = boot_now();
     let mut tried = progress.tried.clone();
     tried.push(chosen.name.clone());
-    let other = call.shared.choose_plain(now, &call.service, &tried, call.request_hash);
+    let other = call
+        .shared
+        .choose_for_plain_call(now, &call.service, &tried, call.request_hash);
     let goes_on = other.is_some() && call.shared.spend_send(now, &call.service);
     slog::info!(call.shared.log, "endpoint failed a call"; "event" => event::ATTEMPT_FAILED,
         "request" => &call.head.request, "endpoint" => chosen.name.as_str(),
--- a/crates/acacia-entry/src/serving/prompt_read.rs
+++ b/crates/acacia-entry/src/serving/prompt_read.rs
@@ -20,8 +20,8 @@
 
 use super::attempt::{AttemptOutcome, AttemptTimeouts, EndpointReply, send};
 use super::call::AcceptedCall;
-use super::choice::{ChosenEndpoint, ChosenReader};
 use super::codec::AttemptRole;
+use super::endpoint_choice::{ChosenEndpoint, ChosenPrefillEngine};
 use super::refusal::{CallRefusal, NO_ENDPOINT_RETRY_DELAY, SHORT_RETRY_DELAY, not_run};
 use super::shared::EntryShared;
 
@@ -104,7 +104,7 @@
     let mut failed = 0;
     while failed < MOST_READERS && tried.len() - failed < MOST_UNREACHED {
         let now = boot_now();
-        let found = call.shared.choose_reader(now, &call.service, &tried, prompt);
+        let found = call.shared.choose_prefill_engine(now, &call.service, &tried, prompt);
         let Some(reader) = found else {
             return Err(not_run("no engine reads prompts", NO_ENDPOINT_RETRY_DELAY));
         };
@@ -144,8 +144,8 @@
     Failed,
 }
 
-async fn read_at(call: &AcceptedCall, prompt: &PromptShape, reader: &ChosenReader) -> ReadOutcome {
-    let ChosenReader {
+async fn read_at(call: &AcceptedCall, prompt: &PromptShape, reader: &ChosenPrefillEngine) -> ReadOutcome {
+    let ChosenPrefillEngine {
         engine: chosen,
         place,
         copy_from,
--- a/crates/acacia-entry/src/serving/stream_call.rs
+++ b/crates/acacia-entry/src/serving/stream_call.rs
@@ -15,8 +15,8 @@
 
 use super::attempt::{AttemptOutcome, AttemptTimeouts, KeptConnection, send};
 use super::call::{AcceptedCall, refuse};
-use super::choice::ChosenEndpoint;
 use super::codec::AttemptRole;
+use super::endpoint_choice::ChosenEndpoint;
 use super::plain_call::assemble;
 use super::prompt_read::{ReadPrompt, read_prompt};
 use super::refusal::{CallRefusal, NO_ENDPOINT_RETRY_DELAY, SHORT_RETRY_DELAY, not_run};
@@ -124,10 +124,10 @@
             }
             let domain = read.as_ref().map(|read| &read.domain);
             let now = boot_now();
-            let chosen = self
-                .call
-                .shared
-                .choose_maker(now, &self.call.service, &tried, domain, self.call.request_hash);
+            let chosen =
+                self.call
+                    .shared
+                    .choose_decode_engine(now, &self.call.service, &tried, domain, self.call.request_hash);
             let Some(chosen) = chosen else {
                 return Err(self.give_up("no engine makes tokens", NO_ENDPOINT_RETRY_DELAY));
             };
@@ -196,7 +196,7 @@
             return Ok(None);
         };
         let pace = self.call.shared.view().own_pace(&self.call.service);
-        if is_read_by_maker(prompt, pace) || !self.call.shared.has_readers(boot_now(), &self.call.service) {
+        if is_read_by_maker(prompt, pace) || !self.call.shared.has_prefill_engines(boot_now(), &self.call.service) {
             return Ok(None);
         }
         let repeated = self.reads > 0;
