--- a/crates/acacia-entry/src/serving/mod.rs
+++ b/crates/acacia-entry/src/serving/mod.rs
@@ -1,7 +1,7 @@
 //! Entry process that routes calls by host and path.
 //!
 //! `call` checks the lease, route, key and body of a call and passes it to `plain_call` or `stream_call`. A plain call is
-//! answered by a single endpoint. The prompt of a stream call may be prefilled by one engine (`prompt_read`) and decoded by
+//! answered by a single endpoint. The prompt of a stream call may be prefilled by one engine (`prefill`) and decoded by
 //! another, and the stream is resumed at another one if the engine breaks off (`stream_body`). Both send calls to endpoints
 //! by `attempt`.
 //!
@@ -17,7 +17,7 @@
 mod endpoint_choice;
 mod endpoint_news;
 mod plain_call;
-mod prompt_read;
+mod prefill;
 mod refusal;
 mod renewal_message;
 mod shared;
--- a/crates/acacia-entry/src/serving/prompt_read.rs
+++ b/crates/acacia-entry/src/serving/prefill.rs
@@ -26,22 +26,22 @@
 use super::shared::EntryShared;
 
 /// Multiple of the expected prefill time, including the queue, after which another engine is asked.
-const WAIT_FACTOR: f64 = 3.0;
+const PREFILL_TIMEOUT_FACTOR: f64 = 3.0;
 /// Time that is added to this limit for a step of the engine and the network.
-const WAIT_MARGIN: Duration = Duration::from_secs(1);
+const PREFILL_TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
 /// Number of failed engines after which the prefill of a prompt is given up.
-const MOST_READERS: usize = 3;
+const MAX_FAILED_ENGINES: usize = 3;
 /// Number of unreachable engines after which the prefill of a prompt is given up. Each of them costs a connection attempt.
-const MOST_UNREACHED: usize = 8;
+const MAX_UNREACHABLE_ENGINES: usize = 8;
 /// Maximum size of an engine's answer to a prefill request, in bytes.
-const LARGEST_HANDLE: usize = 16 * 1024;
+const MAX_HANDLE_BYTES: usize = 16 * 1024;
 /// Time limit for freeing a handle.
 const FREE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Prompt that an engine has prefilled and keeps for a decode engine. Dropping the value frees it on the engine, unless a
 /// decode engine has taken it.
 #[derive(Debug)]
-pub(super) struct ReadPrompt {
+pub(super) struct PrefilledPrompt {
     pub(super) address: SocketAddr,
     pub(super) handle: String,
     pub(super) domain: DomainName,
@@ -49,14 +49,14 @@
     is_taken: bool,
 }
 
-impl ReadPrompt {
+impl PrefilledPrompt {
     /// Records that a decode engine has taken the prompt.
-    pub(super) const fn take(&mut self) {
+    pub(super) const fn mark_taken(&mut self) {
         self.is_taken = true;
     }
 }
 
-impl Drop for ReadPrompt {
+impl Drop for PrefilledPrompt {
     /// Frees the prompt if no engine has taken it. Otherwise it would occupy the engine's memory until it expires.
     fn drop(&mut self) {
         if self.is_taken {
@@ -78,7 +78,7 @@
                     .send(boot_now(), address, ConnectionChoice::Pooled, request)
                     .await;
                 if let Ok(answer) = answer
-                    && read_body(answer.response.into_body(), LARGEST_HANDLE, FREE_TIMEOUT)
+                    && read_body(answer.response.into_body(), MAX_HANDLE_BYTES, FREE_TIMEOUT)
                         .await
                         .is_ok()
                 {
@@ -91,18 +91,18 @@
     }
 }
 
-/// Has an engine prefill the prompt of a call. `repeated` is true if the prompt of this call was sent for prefill before,
+/// Has an engine prefill the prompt of a call. `is_retry` is true if the prompt of this call was sent for prefill before,
 /// so that every attempt counts as a retry.
-pub(super) async fn read_prompt(
+pub(super) async fn prefill_prompt(
     call: &AcceptedCall,
     prompt: &PromptShape,
-    repeated: bool,
-) -> Result<ReadPrompt, CallRefusal> {
+    is_retry: bool,
+) -> Result<PrefilledPrompt, CallRefusal> {
     let mut tried: Vec<EndpointName> = Vec::new();
     // An engine that was not reached has received nothing, so the next attempt is not a retry.
-    let mut arrived = repeated;
+    let mut arrived = is_retry;
     let mut failed = 0;
-    while failed < MOST_READERS && tried.len() - failed < MOST_UNREACHED {
+    while failed < MAX_FAILED_ENGINES && tried.len() - failed < MAX_UNREACHABLE_ENGINES {
         let now = boot_now();
         let found = call.shared.choose_prefill_engine(now, &call.service, &tried, prompt);
         let Some(reader) = found else {
@@ -111,7 +111,7 @@
         let left = call.deadline.since(now);
         let wait = reader.place.wait;
         // Demand is recorded for refused calls too, because their callers retry.
-        note_demand(call, &reader.place);
+        record_demand(call, &reader.place);
         if wait >= left {
             return Err(not_run(
                 "prompt cannot be read in time",
@@ -121,10 +121,10 @@
         if arrived && !call.shared.spend_send(now, &call.service) {
             return Err(not_run("no second send left", SHORT_RETRY_DELAY));
         }
-        match read_at(call, prompt, &reader).await {
-            ReadOutcome::Read(read) => return Ok(read),
-            ReadOutcome::NotReached => {}
-            ReadOutcome::Failed => {
+        match prefill_on(call, prompt, &reader).await {
+            PrefillOutcome::Prefilled(read) => return Ok(read),
+            PrefillOutcome::NotReached => {}
+            PrefillOutcome::Failed => {
                 arrived = true;
                 failed += 1;
             }
@@ -136,15 +136,15 @@
 
 /// Result of a prefill request to one engine.
 #[derive(Debug)]
-enum ReadOutcome {
-    Read(ReadPrompt),
+enum PrefillOutcome {
+    Prefilled(PrefilledPrompt),
     /// The engine has received nothing.
     NotReached,
     /// The engine has received the request, but has not confirmed that it prefilled the prompt.
     Failed,
 }
 
-async fn read_at(call: &AcceptedCall, prompt: &PromptShape, reader: &ChosenPrefillEngine) -> ReadOutcome {
+async fn prefill_on(call: &AcceptedCall, prompt: &PromptShape, reader: &ChosenPrefillEngine) -> PrefillOutcome {
     let ChosenPrefillEngine {
         engine: chosen,
         place,
@@ -158,7 +158,7 @@
     };
     let queued = call.shared.view().loads.work(&chosen.name).unread_tokens;
     let _guard = call.shared.begin_work(&chosen.name, work);
-    let bound = place.wait.mul_f64(WAIT_FACTOR) + WAIT_MARGIN;
+    let bound = place.wait.mul_f64(PREFILL_TIMEOUT_FACTOR) + PREFILL_TIMEOUT_MARGIN;
     let timeouts = AttemptTimeouts {
         // The engine may be busy with work of other entries that this one has not heard of, so a slow engine is not
         // suspected.
@@ -180,13 +180,13 @@
     .await;
     let reply = match outcome {
         AttemptOutcome::Answered(reply) => reply,
-        AttemptOutcome::NotRun { arrived: false } => return ReadOutcome::NotReached,
+        AttemptOutcome::NotRun { arrived: false } => return PrefillOutcome::NotReached,
         AttemptOutcome::NotRun { arrived: true } | AttemptOutcome::Lost | AttemptOutcome::TimedOut => {
-            return ReadOutcome::Failed;
+            return PrefillOutcome::Failed;
         }
     };
-    let Some(handle) = take_handle(call, chosen, *reply).await else {
-        return ReadOutcome::Failed;
+    let Some(handle) = receive_handle(call, chosen, *reply).await else {
+        return PrefillOutcome::Failed;
     };
     let took = boot_now().since(began_at);
     slog::info!(call.shared.log, "prompt read"; "event" => event::PROMPT_READ, "request" => &call.head.request,
@@ -212,7 +212,7 @@
     view.loads.note_success(&chosen.name);
     view.kept_news.note_read(&chosen.name, prompt.shared_parts());
     drop(view);
-    ReadOutcome::Read(ReadPrompt {
+    PrefillOutcome::Prefilled(PrefilledPrompt {
         address: chosen.endpoint.address,
         handle,
         domain: chosen.endpoint.domain.clone(),
@@ -221,7 +221,7 @@
     })
 }
 
-fn note_demand(call: &AcceptedCall, place: &PromptPlace) {
+fn record_demand(call: &AcceptedCall, place: &PromptPlace) {
     let mut view = call.shared.view();
     let demand = view.demands.entry(call.service.clone()).or_default();
     demand.unread_tokens += place.unread_tokens;
@@ -230,10 +230,10 @@
         .max(u64::try_from(place.wait.as_micros()).unwrap_or(u64::MAX));
 }
 
-async fn take_handle(call: &AcceptedCall, chosen: &ChosenEndpoint, reply: EndpointReply) -> Option<String> {
+async fn receive_handle(call: &AcceptedCall, chosen: &ChosenEndpoint, reply: EndpointReply) -> Option<String> {
     let EndpointReply { response, connection } = reply;
     let status = response.status();
-    let body = read_body(response.into_body(), LARGEST_HANDLE, call.deadline.since(boot_now())).await;
+    let body = read_body(response.into_body(), MAX_HANDLE_BYTES, call.deadline.since(boot_now())).await;
     let body = body.ok()?;
     connection.return_to_pool(call).await;
     let handle = status
--- a/crates/acacia-entry/src/serving/stream_call.rs
+++ b/crates/acacia-entry/src/serving/stream_call.rs
@@ -18,7 +18,7 @@
 use super::codec::AttemptRole;
 use super::endpoint_choice::ChosenEndpoint;
 use super::plain_call::assemble;
-use super::prompt_read::{ReadPrompt, read_prompt};
+use super::prefill::{PrefilledPrompt, prefill_prompt};
 use super::refusal::{CallRefusal, NO_ENDPOINT_RETRY_DELAY, SHORT_RETRY_DELAY, not_run};
 use super::shared::LoadGuard;
 use super::stream_body::stream_events;
@@ -43,7 +43,7 @@
     ran: u32,
     turned_away: u32,
     unreached: u32,
-    reads: u32,
+    prefills: u32,
 }
 
 /// Answer of the engine that decodes a call, with the load that the call puts on the engine.
@@ -64,7 +64,7 @@
         ran: 0,
         turned_away: 0,
         unreached: 0,
-        reads: 0,
+        prefills: 0,
     };
     let resume_after = run.call.head.resume_after;
     match run.open(resume_after).await {
@@ -117,12 +117,12 @@
     /// Opens a stream that begins after the event `resume_after`, or at the beginning. Tries several engines if necessary.
     pub(super) async fn open(&mut self, resume_after: Option<u64>) -> Result<OpenStream, CallRefusal> {
         let mut tried: Vec<EndpointName> = Vec::new();
-        let mut read: Option<ReadPrompt> = None;
+        let mut prefilled: Option<PrefilledPrompt> = None;
         loop {
-            if read.is_none() {
-                read = self.read_if_split().await?;
+            if prefilled.is_none() {
+                prefilled = self.prefill_if_separate().await?;
             }
-            let domain = read.as_ref().map(|read| &read.domain);
+            let domain = prefilled.as_ref().map(|prefilled| &prefilled.domain);
             let now = boot_now();
             let chosen =
                 self.call
@@ -132,17 +132,17 @@
                 return Err(self.give_up("no engine makes tokens", NO_ENDPOINT_RETRY_DELAY));
             };
             let guard = self.call.shared.begin_work(&chosen.name, self.maker_work());
-            let outcome = self.send_to(&chosen, read.as_ref(), resume_after).await;
+            let outcome = self.send_to(&chosen, prefilled.as_ref(), resume_after).await;
             match outcome {
                 AttemptOutcome::Answered(reply) => {
-                    if let Some(read) = &mut read {
-                        read.take();
+                    if let Some(prefilled) = &mut prefilled {
+                        prefilled.mark_taken();
                     }
                     self.ran += 1;
                     let (parts, incoming) = reply.response.into_parts();
                     if parts.status.is_server_error() && self.may_go_on() {
                         self.call.shared.view().loads.note_failure(boot_now(), &chosen.name);
-                        read = None;
+                        prefilled = None;
                         tried.push(chosen.name);
                         continue;
                     }
@@ -166,7 +166,7 @@
                     if self.turned_away > 1 {
                         // A single rejection may mean that the engine is full or stopping. After a second one, the
                         // prefilled prompt is probably gone.
-                        read = None;
+                        prefilled = None;
                     }
                     let may_ask = self.call.shared.spend_send(boot_now(), &self.call.service);
                     if self.turned_away > MOST_TURNED_AWAY || !may_ask {
@@ -183,7 +183,7 @@
                             CallRefusal::AnswerLost
                         });
                     }
-                    read = None;
+                    prefilled = None;
                 }
             }
             tried.push(chosen.name);
@@ -191,7 +191,7 @@
     }
 
     /// Has the prompt prefilled if the service has separate engines for it and the prompt is long enough to gain by it.
-    async fn read_if_split(&mut self) -> Result<Option<ReadPrompt>, CallRefusal> {
+    async fn prefill_if_separate(&mut self) -> Result<Option<PrefilledPrompt>, CallRefusal> {
         let Some(prompt) = &self.call.head.prompt else {
             return Ok(None);
         };
@@ -199,10 +199,10 @@
         if is_read_by_maker(prompt, pace) || !self.call.shared.has_prefill_engines(boot_now(), &self.call.service) {
             return Ok(None);
         }
-        let repeated = self.reads > 0;
-        self.reads += 1;
-        match read_prompt(&self.call, prompt, repeated).await {
-            Ok(read) => Ok(Some(read)),
+        let is_retry = self.prefills > 0;
+        self.prefills += 1;
+        match prefill_prompt(&self.call, prompt, is_retry).await {
+            Ok(prefilled) => Ok(Some(prefilled)),
             // An earlier attempt may have run the call, so `NotRun` would be false.
             Err(CallRefusal::NotRun { .. }) if self.ran > 0 => Err(CallRefusal::AnswerLost),
             Err(refusal) => Err(refusal),
@@ -212,12 +212,12 @@
     async fn send_to(
         &self,
         chosen: &ChosenEndpoint,
-        read: Option<&ReadPrompt>,
+        prefilled: Option<&PrefilledPrompt>,
         resume_after: Option<u64>,
     ) -> AttemptOutcome {
-        let role = read.map_or(AttemptRole::Whole, |read| AttemptRole::MakeTokens {
-            reader: read.address,
-            handle: &read.handle,
+        let role = prefilled.map_or(AttemptRole::Whole, |prefilled| AttemptRole::MakeTokens {
+            reader: prefilled.address,
+            handle: &prefilled.handle,
         });
         let suspect_after = self.call.shared.view().suspicion_timeout(&self.call.service);
         let timeouts = AttemptTimeouts {
