--- a/crates/acacia-entry/src/serving/plain_call.rs
+++ b/crates/acacia-entry/src/serving/plain_call.rs
@@ -18,24 +18,24 @@
 use super::endpoint_choice::ChosenEndpoint;
 use super::refusal::{CallRefusal, NO_ENDPOINT_RETRY_DELAY, SHORT_RETRY_DELAY, not_run};
 use super::shared::LoadGuard;
-use super::stream_body::pass_through;
+use super::stream_body::stream_answer;
 
 /// Answers up to this size are read whole before they are passed on: a call that may be repeated can then be sent again
 /// when its answer breaks off.
-const WHOLE_BYTES: usize = 64 * 1024;
+const MAX_BUFFERED_BYTES: usize = 64 * 1024;
 /// Time limit for reading a discarded answer to its end so that its connection can be reused. A new connection costs
 /// about as much.
-const DISCARD_TIME: std::time::Duration = std::time::Duration::from_millis(20);
+const DISCARD_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(20);
 /// Number of rejected and unreachable attempts that a call tolerates before it is given up.
-const MOST_TURNED_AWAY: u32 = 3;
+const MAX_REJECTIONS: u32 = 3;
 
 /// Results of the attempts made for a call so far.
 #[derive(Debug, Default)]
-struct PlainProgress {
+struct PlainAttempts {
     tried: Vec<EndpointName>,
     /// Number of attempts after which an endpoint may have run the call.
-    ran: u32,
-    turned_away: u32,
+    possible_runs: u32,
+    rejections: u32,
 }
 
 /// Answers a call, and logs the endpoint and the duration.
@@ -53,16 +53,16 @@
 }
 
 async fn run(call: &AcceptedCall) -> Result<(Response<ResponseBody>, EndpointName), CallRefusal> {
-    let mut progress = PlainProgress::default();
+    let mut attempts = PlainAttempts::default();
     loop {
         let now = boot_now();
         let chosen = call
             .shared
-            .choose_for_plain_call(now, &call.service, &progress.tried, call.request_hash);
+            .choose_for_plain_call(now, &call.service, &attempts.tried, call.request_hash);
         let Some(chosen) = chosen else {
-            return Err(progress.give_up("no endpoint", NO_ENDPOINT_RETRY_DELAY));
+            return Err(attempts.refusal("no endpoint", NO_ENDPOINT_RETRY_DELAY));
         };
-        let guard = call.shared.begin_work(&chosen.name, one_call());
+        let guard = call.shared.begin_work(&chosen.name, single_call());
         let timeouts = AttemptTimeouts {
             suspect_after: None,
             give_up_after: call.deadline.since(now),
@@ -70,41 +70,41 @@
         let outcome = send(call, &chosen, AttemptRole::Whole, None, timeouts).await;
         match outcome {
             AttemptOutcome::Answered(reply) => {
-                if may_go_elsewhere(call, &progress, &chosen, &reply) {
-                    progress.ran += 1;
+                if acquire_retry_elsewhere(call, &attempts, &chosen, &reply) {
+                    attempts.possible_runs += 1;
                     discard(call, *reply).await;
-                } else if let Some(response) = take_answer(call, &chosen, *reply, guard).await {
+                } else if let Some(response) = relay_answer(call, &chosen, *reply, guard).await {
                     return Ok((response, chosen.name));
                 } else {
-                    progress.ran += 1;
-                    if !may_repeat(call, &progress) {
+                    attempts.possible_runs += 1;
+                    if !acquire_retry(call, &attempts) {
                         return Err(CallRefusal::AnswerLost);
                     }
                 }
             }
             AttemptOutcome::NotRun { arrived } => {
-                progress.turned_away += 1;
+                attempts.rejections += 1;
                 let is_free = !arrived || call.shared.spend_send(boot_now(), &call.service);
-                if progress.turned_away > MOST_TURNED_AWAY || !is_free {
-                    return Err(progress.give_up("turned away", SHORT_RETRY_DELAY));
+                if attempts.rejections > MAX_REJECTIONS || !is_free {
+                    return Err(attempts.refusal("turned away", SHORT_RETRY_DELAY));
                 }
             }
             AttemptOutcome::Lost => {
-                progress.ran += 1;
-                if !may_repeat(call, &progress) {
+                attempts.possible_runs += 1;
+                if !acquire_retry(call, &attempts) {
                     return Err(CallRefusal::AnswerLost);
                 }
             }
             AttemptOutcome::TimedOut => return Err(CallRefusal::TimedOut),
         }
-        progress.tried.push(chosen.name);
+        attempts.tried.push(chosen.name);
     }
 }
 
-impl PlainProgress {
+impl PlainAttempts {
     /// Returns the refusal of the call. It states that the call has not run only if that is certain.
-    const fn give_up(&self, reason: &'static str, retry_after: std::time::Duration) -> CallRefusal {
-        if self.ran == 0 {
+    const fn refusal(&self, reason: &'static str, retry_after: std::time::Duration) -> CallRefusal {
+        if self.possible_runs == 0 {
             not_run(reason, retry_after)
         } else {
             CallRefusal::AnswerLost
@@ -112,7 +112,7 @@
     }
 }
 
-const fn one_call() -> EndpointWork {
+const fn single_call() -> EndpointWork {
     EndpointWork {
         unread_tokens: 0,
         calls: 1,
@@ -122,18 +122,18 @@
 
 /// Returns true if the endpoint answered with a server error and the call is to be retried at another endpoint. Takes the
 /// retry from the service's retry limit.
-fn may_go_elsewhere(
+fn acquire_retry_elsewhere(
     call: &AcceptedCall,
-    progress: &PlainProgress,
+    attempts: &PlainAttempts,
     chosen: &ChosenEndpoint,
     reply: &EndpointReply,
 ) -> bool {
     let failed = reply.response.status().is_server_error();
-    if !failed || !call.route().kind.may_repeat() || progress.ran + 1 >= call.route().max_attempts {
+    if !failed || !call.route().kind.may_repeat() || attempts.possible_runs + 1 >= call.route().max_attempts {
         return false;
     }
     let now = boot_now();
-    let mut tried = progress.tried.clone();
+    let mut tried = attempts.tried.clone();
     tried.push(chosen.name.clone());
     let other = call
         .shared
@@ -148,22 +148,22 @@
 
 /// Reads a discarded answer to its end, so that its connection can be reused.
 async fn discard(call: &AcceptedCall, reply: EndpointReply) {
-    let reading = read_whole(reply.response.into_body());
-    if let Ok(Some(_)) = tokio::time::timeout(DISCARD_TIME, reading).await {
+    let reading = read_to_end(reply.response.into_body());
+    if let Ok(Some(_)) = tokio::time::timeout(DISCARD_TIMEOUT, reading).await {
         reply.connection.return_to_pool(call).await;
     }
 }
 
-fn may_repeat(call: &AcceptedCall, progress: &PlainProgress) -> bool {
+fn acquire_retry(call: &AcceptedCall, attempts: &PlainAttempts) -> bool {
     let now = boot_now();
     call.route().kind.may_repeat()
-        && progress.ran < call.route().max_attempts
+        && attempts.possible_runs < call.route().max_attempts
         && now < call.deadline
         && call.shared.spend_send(now, &call.service)
 }
 
 /// Reads a small answer whole, or begins to pass a large one on; nothing if it broke off before its end.
-async fn take_answer(
+async fn relay_answer(
     call: &AcceptedCall,
     chosen: &ChosenEndpoint,
     reply: EndpointReply,
@@ -174,12 +174,12 @@
     let headers = call.shared.codec.filter_answer_headers(&parts.headers);
     call.shared.count_start(call.customer());
     let (status, length) = (parts.status, content_length(&parts.headers));
-    if length.is_some_and(|length| length > WHOLE_BYTES) {
-        let body = pass_through(call, incoming, connection, guard);
-        return Some(assemble(status, headers, body));
+    if length.is_some_and(|length| length > MAX_BUFFERED_BYTES) {
+        let body = stream_answer(call, incoming, connection, guard);
+        return Some(build_response(status, headers, body));
     }
     let left = call.deadline.since(boot_now());
-    let Ok(Some(whole)) = tokio::time::timeout(left, read_whole(incoming)).await else {
+    let Ok(Some(whole)) = tokio::time::timeout(left, read_to_end(incoming)).await else {
         slog::info!(call.shared.log, "answer broke off"; "event" => event::ATTEMPT_FAILED,
             "request" => &call.head.request, "endpoint" => chosen.name.as_str());
         call.shared.view().loads.note_failure(boot_now(), &chosen.name);
@@ -193,14 +193,14 @@
         view.loads.note_success(&chosen.name);
     }
     drop(view);
-    Some(assemble(status, headers, full_body(whole)))
+    Some(build_response(status, headers, full_body(whole)))
 }
 
 fn content_length(headers: &hyper::HeaderMap) -> Option<usize> {
     headers.get(CONTENT_LENGTH)?.to_str().ok()?.parse().ok()
 }
 
-async fn read_whole(mut incoming: Incoming) -> Option<Bytes> {
+async fn read_to_end(mut incoming: Incoming) -> Option<Bytes> {
     let mut whole = BytesMut::new();
     while let Some(frame) = incoming.frame().await {
         if let Ok(data) = frame.ok()?.into_data() {
@@ -211,7 +211,11 @@
 }
 
 /// Builds the response to the caller.
-pub(super) fn assemble(status: StatusCode, headers: hyper::HeaderMap, body: ResponseBody) -> Response<ResponseBody> {
+pub(super) fn build_response(
+    status: StatusCode,
+    headers: hyper::HeaderMap,
+    body: ResponseBody,
+) -> Response<ResponseBody> {
     let mut response = Response::new(body);
     *response.status_mut() = status;
     *response.headers_mut() = headers;
--- a/crates/acacia-entry/src/serving/stream_body.rs
+++ b/crates/acacia-entry/src/serving/stream_body.rs
@@ -17,7 +17,7 @@
 
 /// Streams a large body as it arrives. If it breaks off, the caller's connection is broken too, so that the caller cannot
 /// take the body for complete.
-pub(super) fn pass_through(
+pub(super) fn stream_answer(
     call: &AcceptedCall,
     incoming: Incoming,
     connection: KeptConnection,
--- a/crates/acacia-entry/src/serving/stream_call.rs
+++ b/crates/acacia-entry/src/serving/stream_call.rs
@@ -17,14 +17,14 @@
 use super::call::{AcceptedCall, refuse};
 use super::codec::AttemptRole;
 use super::endpoint_choice::ChosenEndpoint;
-use super::plain_call::assemble;
+use super::plain_call::build_response;
 use super::prefill::{PrefilledPrompt, prefill_prompt};
 use super::refusal::{CallRefusal, NO_ENDPOINT_RETRY_DELAY, SHORT_RETRY_DELAY, not_run};
 use super::shared::LoadGuard;
 use super::stream_body::stream_events;
 
 /// Number of rejections by engines that a call tolerates before it is given up.
-const MOST_TURNED_AWAY: u32 = 3;
+const MAX_REJECTIONS: u32 = 3;
 /// Number of unreachable engines that a call tolerates before it is given up. Each of them costs a connection attempt.
 const MOST_UNREACHED: u32 = 8;
 /// Fraction of the route's event timeout for which an engine may be silent before the stream is resumed at another one.
@@ -40,8 +40,8 @@
 pub(super) struct StreamRun {
     pub(super) call: AcceptedCall,
     /// Number of attempts after which an engine may have begun to decode.
-    ran: u32,
-    turned_away: u32,
+    possible_runs: u32,
+    rejections: u32,
     unreached: u32,
     prefills: u32,
 }
@@ -61,8 +61,8 @@
 pub(super) async fn answer(call: AcceptedCall) -> Response<ResponseBody> {
     let mut run = StreamRun {
         call,
-        ran: 0,
-        turned_away: 0,
+        possible_runs: 0,
+        rejections: 0,
         unreached: 0,
         prefills: 0,
     };
@@ -76,7 +76,7 @@
                 "request" => &run.call.head.request, "route" => &run.call.route().name,
                 "endpoint" => stream.endpoint.as_str(), "status" => stream.status.as_u16(),
                 "after_ms" => whole_millis(boot_now().since(run.call.received_at)));
-            assemble(stream.status, headers, stream_events(run, stream))
+            build_response(stream.status, headers, stream_events(run, stream))
         }
         Err(refusal) => refuse(&run.call.shared, Some(&run.call.head), refusal, run.call.received_at),
     }
@@ -87,7 +87,7 @@
     pub(super) fn may_go_on(&self) -> bool {
         let now = boot_now();
         self.call.route().kind.may_repeat()
-            && self.ran < self.call.route().max_attempts
+            && self.possible_runs < self.call.route().max_attempts
             && now < self.call.deadline
             && self.call.shared.spend_send(now, &self.call.service)
     }
@@ -96,7 +96,7 @@
     pub(super) fn silence_bound(&self) -> Duration {
         let left = self.call.deadline.since(boot_now());
         // A stream that nobody else can continue is waited for as long as its caller may be waiting.
-        if self.call.route().kind.may_repeat() && self.ran < self.call.route().max_attempts {
+        if self.call.route().kind.may_repeat() && self.possible_runs < self.call.route().max_attempts {
             left.min(self.call.route().event_timeout().mul_f64(SILENCE_PART))
         } else {
             left
@@ -107,7 +107,7 @@
     /// usual time to first answer is known and the call can be retried elsewhere.
     fn first_answer_bound(&self, suspect_after: Option<Duration>) -> Duration {
         let bound = self.silence_bound();
-        let may_go_on = self.call.route().kind.may_repeat() && self.ran + 1 < self.call.route().max_attempts;
+        let may_go_on = self.call.route().kind.may_repeat() && self.possible_runs + 1 < self.call.route().max_attempts;
         match suspect_after {
             Some(suspect_after) if may_go_on => bound.min(suspect_after.mul_f64(GIVE_UP_FACTOR)),
             _ => bound,
@@ -129,7 +129,7 @@
                     .shared
                     .choose_decode_engine(now, &self.call.service, &tried, domain, self.call.request_hash);
             let Some(chosen) = chosen else {
-                return Err(self.give_up("no engine makes tokens", NO_ENDPOINT_RETRY_DELAY));
+                return Err(self.refusal("no engine makes tokens", NO_ENDPOINT_RETRY_DELAY));
             };
             let guard = self.call.shared.begin_work(&chosen.name, self.maker_work());
             let outcome = self.send_to(&chosen, prefilled.as_ref(), resume_after).await;
@@ -138,7 +138,7 @@
                     if let Some(prefilled) = &mut prefilled {
                         prefilled.mark_taken();
                     }
-                    self.ran += 1;
+                    self.possible_runs += 1;
                     let (parts, incoming) = reply.response.into_parts();
                     if parts.status.is_server_error() && self.may_go_on() {
                         self.call.shared.view().loads.note_failure(boot_now(), &chosen.name);
@@ -158,23 +158,23 @@
                 AttemptOutcome::NotRun { arrived: false } => {
                     self.unreached += 1;
                     if self.unreached > MOST_UNREACHED {
-                        return Err(self.give_up("no engine was reached", SHORT_RETRY_DELAY));
+                        return Err(self.refusal("no engine was reached", SHORT_RETRY_DELAY));
                     }
                 }
                 AttemptOutcome::NotRun { arrived: true } => {
-                    self.turned_away += 1;
-                    if self.turned_away > 1 {
+                    self.rejections += 1;
+                    if self.rejections > 1 {
                         // A single rejection may mean that the engine is full or stopping. After a second one, the
                         // prefilled prompt is probably gone.
                         prefilled = None;
                     }
                     let may_ask = self.call.shared.spend_send(boot_now(), &self.call.service);
-                    if self.turned_away > MOST_TURNED_AWAY || !may_ask {
-                        return Err(self.give_up("turned away", SHORT_RETRY_DELAY));
+                    if self.rejections > MAX_REJECTIONS || !may_ask {
+                        return Err(self.refusal("turned away", SHORT_RETRY_DELAY));
                     }
                 }
                 AttemptOutcome::Lost | AttemptOutcome::TimedOut => {
-                    self.ran += 1;
+                    self.possible_runs += 1;
                     if !self.may_go_on() {
                         let is_late = matches!(outcome, AttemptOutcome::TimedOut);
                         return Err(if is_late {
@@ -204,7 +204,7 @@
         match prefill_prompt(&self.call, prompt, is_retry).await {
             Ok(prefilled) => Ok(Some(prefilled)),
             // An earlier attempt may have run the call, so `NotRun` would be false.
-            Err(CallRefusal::NotRun { .. }) if self.ran > 0 => Err(CallRefusal::AnswerLost),
+            Err(CallRefusal::NotRun { .. }) if self.possible_runs > 0 => Err(CallRefusal::AnswerLost),
             Err(refusal) => Err(refusal),
         }
     }
@@ -242,8 +242,8 @@
         }
     }
 
-    const fn give_up(&self, reason: &'static str, retry_after: Duration) -> CallRefusal {
-        if self.ran == 0 {
+    const fn refusal(&self, reason: &'static str, retry_after: Duration) -> CallRefusal {
+        if self.possible_runs == 0 {
             not_run(reason, retry_after)
         } else {
             CallRefusal::AnswerLost
