--- a/crates/acacia-entry/src/serving/stream_body.rs
+++ b/crates/acacia-entry/src/serving/stream_body.rs
@@ -13,7 +13,7 @@
 use super::attempt::KeptConnection;
 use super::call::AcceptedCall;
 use super::shared::LoadGuard;
-use super::stream_call::{OpenStream, StreamRun};
+use super::stream_call::{OpenStream, StreamAttempts};
 
 /// Streams a large body as it arrives. If it breaks off, the caller's connection is broken too, so that the caller cannot
 /// take the body for complete.
@@ -47,80 +47,80 @@
 
 /// State of an event stream to the caller.
 #[derive(Debug)]
-struct EventState {
-    run: StreamRun,
+struct EventRelay {
+    attempts: StreamAttempts,
     /// Stream of the current engine, or `None` while another engine is being chosen.
     stream: Option<OpenStream>,
-    cutter: EventSplitter,
+    splitter: EventSplitter,
     last_id: Option<u64>,
     events: usize,
 }
 
 /// Streams events as they arrive. If an engine breaks off, resumes the stream at another one.
-pub(super) fn stream_events(run: StreamRun, stream: OpenStream) -> ResponseBody {
-    let state = EventState {
-        last_id: run.call.head.resume_after,
-        run,
+pub(super) fn stream_events(attempts: StreamAttempts, stream: OpenStream) -> ResponseBody {
+    let state = EventRelay {
+        last_id: attempts.call.head.resume_after,
+        attempts,
         stream: Some(stream),
-        cutter: EventSplitter::default(),
+        splitter: EventSplitter::default(),
         events: 0,
     };
     let frames = stream::unfold(Some(state), |state| async move {
         let mut state = state?;
         match state.next().await {
-            Piece::Events(bytes) => Some((Ok(Frame::data(bytes)), Some(state))),
-            Piece::Last(bytes) => {
+            RelayStep::Events(bytes) => Some((Ok(Frame::data(bytes)), Some(state))),
+            RelayStep::End(bytes) => {
                 state.finish().await;
                 (!bytes.is_empty()).then(|| (Ok(Frame::data(bytes)), None))
             }
-            Piece::Broken => Some((Err(std::io::Error::other("stream broke off")), None)),
+            RelayStep::Broken => Some((Err(std::io::Error::other("stream broke off")), None)),
         }
     });
     StreamBody::new(frames).boxed_unsync()
 }
 
 #[derive(Debug)]
-enum Piece {
+enum RelayStep {
     Events(Bytes),
     /// Bytes that were left without an event terminator when the answer ended.
-    Last(Bytes),
+    End(Bytes),
     Broken,
 }
 
-impl EventState {
-    async fn next(&mut self) -> Piece {
+impl EventRelay {
+    async fn next(&mut self) -> RelayStep {
         loop {
-            let bound = self.run.silence_bound();
+            let timeout = self.attempts.silence_timeout();
             let Some(stream) = &mut self.stream else {
-                return Piece::Broken;
+                return RelayStep::Broken;
             };
-            match tokio::time::timeout(bound, stream.incoming.frame()).await {
+            match tokio::time::timeout(timeout, stream.incoming.frame()).await {
                 Ok(Some(Ok(frame))) => {
                     let Ok(data) = frame.into_data() else { continue };
-                    let events = self.cutter.push(&data);
+                    let events = self.splitter.push(&data);
                     if events.bytes.is_empty() {
                         continue;
                     }
-                    self.note_events(events.count, events.last_id);
-                    return Piece::Events(events.bytes);
+                    self.record_events(events.count, events.last_id);
+                    return RelayStep::Events(events.bytes);
                 }
-                Ok(None) => return Piece::Last(Bytes::copy_from_slice(self.cutter.partial_event())),
+                Ok(None) => return RelayStep::End(Bytes::copy_from_slice(self.splitter.partial_event())),
                 Ok(Some(Err(error))) => {
-                    if !self.go_on(&error.to_string()).await {
-                        return Piece::Broken;
+                    if !self.resume_elsewhere(&error.to_string()).await {
+                        return RelayStep::Broken;
                     }
                 }
                 Err(_elapsed) => {
-                    if !self.go_on("silent").await {
-                        return Piece::Broken;
+                    if !self.resume_elsewhere("silent").await {
+                        return RelayStep::Broken;
                     }
                 }
             }
         }
     }
 
-    fn note_events(&mut self, count: usize, last_id: Option<u64>) {
-        let call = &self.run.call;
+    fn record_events(&mut self, count: usize, last_id: Option<u64>) {
+        let call = &self.attempts.call;
         if self.events == 0 {
             call.shared.count_start(call.customer());
             metrics::histogram!("acacia_first_event_seconds").record(boot_now().since(call.received_at).as_secs_f64());
@@ -130,27 +130,27 @@
     }
 
     /// Resumes the stream at another engine after the last complete event. Returns true if that succeeded.
-    async fn go_on(&mut self, reason: &str) -> bool {
+    async fn resume_elsewhere(&mut self, reason: &str) -> bool {
         // Closed before another engine is asked: an engine that is merely slow would otherwise keep working on the call.
         let Some(OpenStream { endpoint, .. }) = self.stream.take() else {
             return false;
         };
-        let call = &self.run.call;
+        let call = &self.attempts.call;
         call.shared.view().loads.note_failure(boot_now(), &endpoint);
-        let may_go_on = self.run.may_go_on();
+        let can_retry = self.attempts.acquire_retry();
         slog::info!(call.shared.log, "stream broke off"; "event" => event::ATTEMPT_FAILED,
             "request" => &call.head.request, "endpoint" => endpoint.as_str(), "reason" => reason,
-            "events" => self.events, "last_id" => self.last_id, "goes_on" => may_go_on);
-        if !may_go_on {
+            "events" => self.events, "last_id" => self.last_id, "goes_on" => can_retry);
+        if !can_retry {
             return false;
         }
         let (request, log) = (call.head.request.clone(), call.shared.log.clone());
-        match self.run.open(self.last_id).await {
+        match self.attempts.open(self.last_id).await {
             Ok(stream) if stream.status.is_success() => {
                 slog::info!(log, "stream resumed"; "event" => event::STREAM_RESUMED, "request" => request,
                     "endpoint" => stream.endpoint.as_str(), "after" => self.last_id);
                 self.stream = Some(stream);
-                self.cutter = EventSplitter::default();
+                self.splitter = EventSplitter::default();
                 true
             }
             Ok(stream) => {
@@ -168,7 +168,7 @@
 
     async fn finish(self) {
         let Some(stream) = self.stream else { return };
-        let call = &self.run.call;
+        let call = &self.attempts.call;
         slog::info!(call.shared.log, "stream ended"; "event" => event::CALL_ENDED, "request" => &call.head.request,
             "endpoint" => stream.endpoint.as_str(), "events" => self.events,
             "after_ms" => whole_millis(boot_now().since(call.received_at)));
--- a/crates/acacia-entry/src/serving/stream_call.rs
+++ b/crates/acacia-entry/src/serving/stream_call.rs
@@ -26,23 +26,23 @@
 /// Number of rejections by engines that a call tolerates before it is given up.
 const MAX_REJECTIONS: u32 = 3;
 /// Number of unreachable engines that a call tolerates before it is given up. Each of them costs a connection attempt.
-const MOST_UNREACHED: u32 = 8;
+const MAX_UNREACHABLE: u32 = 8;
 /// Fraction of the route's event timeout for which an engine may be silent before the stream is resumed at another one.
 /// After the whole timeout, the caller disconnects.
-const SILENCE_PART: f64 = 0.6;
+const SILENCE_FRACTION: f64 = 0.6;
 
 /// Multiple of the suspicion timeout that an engine may take to begin its answer before the call is retried at another
 /// one.
-const GIVE_UP_FACTOR: f64 = 2.0;
+const FIRST_ANSWER_FACTOR: f64 = 2.0;
 
 /// Call with the results of the attempts made so far.
 #[derive(Debug)]
-pub(super) struct StreamRun {
+pub(super) struct StreamAttempts {
     pub(super) call: AcceptedCall,
     /// Number of attempts after which an engine may have begun to decode.
     possible_runs: u32,
     rejections: u32,
-    unreached: u32,
+    unreachable: u32,
     prefills: u32,
 }
 
@@ -59,32 +59,37 @@
 
 /// Answers a call with an event stream, which is resumed from the caller's last event if the caller sent one.
 pub(super) async fn answer(call: AcceptedCall) -> Response<ResponseBody> {
-    let mut run = StreamRun {
+    let mut attempts = StreamAttempts {
         call,
         possible_runs: 0,
         rejections: 0,
-        unreached: 0,
+        unreachable: 0,
         prefills: 0,
     };
-    let resume_after = run.call.head.resume_after;
-    match run.open(resume_after).await {
+    let resume_after = attempts.call.head.resume_after;
+    match attempts.open(resume_after).await {
         Ok(stream) => {
-            let mut headers = run.call.shared.codec.filter_answer_headers(&stream.headers);
+            let mut headers = attempts.call.shared.codec.filter_answer_headers(&stream.headers);
             // If the stream is resumed at another engine, its total length differs.
             headers.remove(CONTENT_LENGTH);
-            slog::info!(run.call.shared.log, "stream begun"; "event" => event::CALL_ENDED,
-                "request" => &run.call.head.request, "route" => &run.call.route().name,
+            slog::info!(attempts.call.shared.log, "stream begun"; "event" => event::CALL_ENDED,
+                "request" => &attempts.call.head.request, "route" => &attempts.call.route().name,
                 "endpoint" => stream.endpoint.as_str(), "status" => stream.status.as_u16(),
-                "after_ms" => whole_millis(boot_now().since(run.call.received_at)));
-            build_response(stream.status, headers, stream_events(run, stream))
+                "after_ms" => whole_millis(boot_now().since(attempts.call.received_at)));
+            build_response(stream.status, headers, stream_events(attempts, stream))
         }
-        Err(refusal) => refuse(&run.call.shared, Some(&run.call.head), refusal, run.call.received_at),
+        Err(refusal) => refuse(
+            &attempts.call.shared,
+            Some(&attempts.call.head),
+            refusal,
+            attempts.call.received_at,
+        ),
     }
 }
 
-impl StreamRun {
+impl StreamAttempts {
     /// Returns true if the call may be sent to another engine. Takes the retry from the service's retry limit.
-    pub(super) fn may_go_on(&self) -> bool {
+    pub(super) fn acquire_retry(&self) -> bool {
         let now = boot_now();
         self.call.route().kind.may_repeat()
             && self.possible_runs < self.call.route().max_attempts
@@ -93,11 +98,11 @@
     }
 
     /// Returns the time for which the engine may send nothing.
-    pub(super) fn silence_bound(&self) -> Duration {
+    pub(super) fn silence_timeout(&self) -> Duration {
         let left = self.call.deadline.since(boot_now());
         // A stream that nobody else can continue is waited for as long as its caller may be waiting.
         if self.call.route().kind.may_repeat() && self.possible_runs < self.call.route().max_attempts {
-            left.min(self.call.route().event_timeout().mul_f64(SILENCE_PART))
+            left.min(self.call.route().event_timeout().mul_f64(SILENCE_FRACTION))
         } else {
             left
         }
@@ -105,12 +110,12 @@
 
     /// Returns the time that an engine may take to begin its answer. It is shorter than the silence bound if the service's
     /// usual time to first answer is known and the call can be retried elsewhere.
-    fn first_answer_bound(&self, suspect_after: Option<Duration>) -> Duration {
-        let bound = self.silence_bound();
-        let may_go_on = self.call.route().kind.may_repeat() && self.possible_runs + 1 < self.call.route().max_attempts;
+    fn first_answer_timeout(&self, suspect_after: Option<Duration>) -> Duration {
+        let timeout = self.silence_timeout();
+        let can_retry = self.call.route().kind.may_repeat() && self.possible_runs + 1 < self.call.route().max_attempts;
         match suspect_after {
-            Some(suspect_after) if may_go_on => bound.min(suspect_after.mul_f64(GIVE_UP_FACTOR)),
-            _ => bound,
+            Some(suspect_after) if can_retry => timeout.min(suspect_after.mul_f64(FIRST_ANSWER_FACTOR)),
+            _ => timeout,
         }
     }
 
@@ -131,7 +136,7 @@
             let Some(chosen) = chosen else {
                 return Err(self.refusal("no engine makes tokens", NO_ENDPOINT_RETRY_DELAY));
             };
-            let guard = self.call.shared.begin_work(&chosen.name, self.maker_work());
+            let guard = self.call.shared.begin_work(&chosen.name, self.decode_work());
             let outcome = self.send_to(&chosen, prefilled.as_ref(), resume_after).await;
             match outcome {
                 AttemptOutcome::Answered(reply) => {
@@ -140,7 +145,7 @@
                     }
                     self.possible_runs += 1;
                     let (parts, incoming) = reply.response.into_parts();
-                    if parts.status.is_server_error() && self.may_go_on() {
+                    if parts.status.is_server_error() && self.acquire_retry() {
                         self.call.shared.view().loads.note_failure(boot_now(), &chosen.name);
                         prefilled = None;
                         tried.push(chosen.name);
@@ -156,8 +161,8 @@
                     });
                 }
                 AttemptOutcome::NotRun { arrived: false } => {
-                    self.unreached += 1;
-                    if self.unreached > MOST_UNREACHED {
+                    self.unreachable += 1;
+                    if self.unreachable > MAX_UNREACHABLE {
                         return Err(self.refusal("no engine was reached", SHORT_RETRY_DELAY));
                     }
                 }
@@ -175,7 +180,7 @@
                 }
                 AttemptOutcome::Lost | AttemptOutcome::TimedOut => {
                     self.possible_runs += 1;
-                    if !self.may_go_on() {
+                    if !self.acquire_retry() {
                         let is_late = matches!(outcome, AttemptOutcome::TimedOut);
                         return Err(if is_late {
                             CallRefusal::TimedOut
@@ -222,7 +227,7 @@
         let suspect_after = self.call.shared.view().suspicion_timeout(&self.call.service);
         let timeouts = AttemptTimeouts {
             suspect_after,
-            give_up_after: self.first_answer_bound(suspect_after),
+            give_up_after: self.first_answer_timeout(suspect_after),
         };
         let sent_at = boot_now();
         let outcome = send(&self.call, chosen, role, resume_after, timeouts).await;
@@ -233,7 +238,7 @@
         outcome
     }
 
-    fn maker_work(&self) -> EndpointWork {
+    fn decode_work(&self) -> EndpointWork {
         let prompt = self.call.head.prompt.as_ref();
         EndpointWork {
             unread_tokens: 0,
