--- a/crates/acacia-entry/src/serving/control_sessions.rs
+++ b/crates/acacia-entry/src/serving/control_sessions.rs
@@ -37,7 +37,7 @@
 /// report to each other is at most two intervals old.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(250);
 /// Time for which sent data may remain unacknowledged before the kernel closes the connection.
-const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Time without received data after which a session counts as lost. Replicas send a message every half second.
 const SILENCE: Duration = Duration::from_millis(1_500);
 /// Delay before a lost connection is opened again.
@@ -127,7 +127,7 @@
     }
 
     async fn use_session(&self, address: SocketAddr, was_open: &mut bool) -> std::io::Result<()> {
-        let stream = connect_within(address, CONNECT_TIMEOUT, USER_TIMEOUT).await?;
+        let stream = connect_within(address, CONNECT_TIMEOUT, TCP_USER_TIMEOUT).await?;
         let (reader, mut writer) = split_frames(stream);
         let settings = &self.shared.settings;
         let hello = ServingHello {
@@ -300,7 +300,7 @@
         view.loads.hear_others(others.iter().map(use_from_wire));
         view.loads.hear_silent(silent.iter().map(EndpointName::new));
         for kept in &kept {
-            view.hear_kept(&kept_from_wire(kept));
+            view.record_cached_part(&kept_from_wire(kept));
         }
         let is_behind = view.standing.behind_since(view.held.number).is_some();
         drop(view);
--- a/crates/acacia-entry/src/serving/endpoint_choice.rs
+++ b/crates/acacia-entry/src/serving/endpoint_choice.rs
@@ -57,11 +57,11 @@
         let readers = without_tried(available_of_stage(&view, now, service, EngineStage::Prefill), tried);
         let mut keepers = view.registry.answering(now, service);
         keepers.retain(|(_, endpoint)| endpoint.stage == Some(EngineStage::Prefill));
-        let spec = view.engine(service);
+        let spec = view.engine_spec(service);
         let engines = PromptEngines {
             readers: &readers,
             keepers: &keepers,
-            pace: view.own_pace(service),
+            pace: view.prefill_pace(service),
             link: spec.as_ref().and_then(|spec| spec.link.as_ref()),
         };
         let place = place_prompt(&self.placement(now, &view), &engines, prompt)?;
--- a/crates/acacia-entry/src/serving/prefill.rs
+++ b/crates/acacia-entry/src/serving/prefill.rs
@@ -201,7 +201,7 @@
         unread: place.unread_tokens,
         took,
     };
-    view.note_reading(&call.service, &chosen.name, reading);
+    view.record_prefill_time(&call.service, &chosen.name, reading);
     if let Some(source) = copy_from
         && is_source_lost(&source.endpoint, place.wait, took)
     {
--- a/crates/acacia-entry/src/serving/renewal_message.rs
+++ b/crates/acacia-entry/src/serving/renewal_message.rs
@@ -27,7 +27,7 @@
     let demands = std::mem::take(&mut view.demands);
     let paces: BTreeMap<_, _> = demands
         .keys()
-        .map(|service| (service.clone(), pace_to_wire(view.own_pace(service))))
+        .map(|service| (service.clone(), pace_to_wire(view.prefill_pace(service))))
         .collect();
     let demands = demands.into_iter().map(|(service, demand)| ServiceDemand {
         service: service.to_string(),
--- a/crates/acacia-entry/src/serving/shared.rs
+++ b/crates/acacia-entry/src/serving/shared.rs
@@ -35,18 +35,18 @@
 
 /// Length of the lease as a fraction of the time within which a withdrawn key must stop working. The rest covers calls
 /// that are on their way to an endpoint when the lease ends.
-const LEASE_PART: f64 = 0.75;
+const LEASE_FRACTION: f64 = 0.75;
 /// Time for which an idle connection is kept if the endpoint does not announce a time of its own. An entry that spreads a
 /// few calls per second over a hundred endpoints reuses each connection within this time. A new connection costs both
 /// sides.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(45);
 /// Time for which sent data may remain unacknowledged before the kernel closes the connection to an endpoint.
-const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Time limit for connecting to an endpoint. Within a region this takes milliseconds. A lost packet is retransmitted only
 /// after a second, by which time another endpoint can have answered.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// How many windows of counts are repeated to the leader: those that may still be open.
-const KEPT_WINDOWS: u64 = 4;
+const REPORTED_WINDOWS: u64 = 4;
 
 /// Demand for a service since the last report to the leader.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -74,14 +74,14 @@
     /// Announcements of the prompt parts that engines have cached.
     pub(super) kept_news: KeptNews,
     pub(super) demands: BTreeMap<ServiceName, DemandCount>,
-    paces: BTreeMap<ServiceName, ReadingPace>,
+    prefill_paces: BTreeMap<ServiceName, ReadingPace>,
     answer_paces: BTreeMap<ServiceName, AnswerPace>,
     budgets: HashMap<ServiceName, RetryLimiter>,
 }
 
 impl EntryView {
     /// Returns the specification of a service's engines, if the configuration has one.
-    pub(super) fn engine(&self, service: &ServiceName) -> Option<EngineSpec> {
+    pub(super) fn engine_spec(&self, service: &ServiceName) -> Option<EngineSpec> {
         let spec = self.index.as_ref()?.config().services.get(service)?;
         spec.engine
     }
@@ -96,25 +96,25 @@
     }
 
     /// Records that an engine has cached a part that it prefilled for another entry.
-    pub(super) fn hear_kept(&mut self, kept: &KeptPart) {
+    pub(super) fn record_cached_part(&mut self, kept: &KeptPart) {
         let Some(endpoint) = self.registry.get(&kept.engine) else {
             return;
         };
         let service = endpoint.service.clone();
-        let memory = self.engine(&service).map_or(0, |engine| engine.memory_tokens);
+        let memory = self.engine_spec(&service).map_or(0, |engine| engine.memory_tokens);
         self.kept_news.hear(kept);
         self.loads.note_read(&kept.engine, &[kept.part], memory);
     }
 
     /// Records how long an engine took to prefill a prompt.
-    pub(super) fn note_reading(&mut self, service: &ServiceName, engine: &EndpointName, reading: ReadingTime) {
-        let usual = self.own_pace(service);
+    pub(super) fn record_prefill_time(&mut self, service: &ServiceName, engine: &EndpointName, reading: ReadingTime) {
+        let usual = self.prefill_pace(service);
         self.loads.note_reading(engine, reading, usual);
-        self.paces.entry(service.clone()).or_default().note(reading);
+        self.prefill_paces.entry(service.clone()).or_default().note(reading);
     }
 
     /// Records how long a decode engine took to begin its answer.
-    pub(super) fn note_first_answer(&mut self, service: &ServiceName, took: Duration) {
+    pub(super) fn record_first_answer(&mut self, service: &ServiceName, took: Duration) {
         self.answer_paces.entry(service.clone()).or_default().note(took);
     }
 
@@ -125,8 +125,8 @@
 
     /// Returns the prefill time per prompt token of a service's engines in milliseconds, without time in the queue, or
     /// `None` before the first measurement.
-    pub(super) fn own_pace(&self, service: &ServiceName) -> Option<f64> {
-        self.paces.get(service).and_then(|pace| pace.get())
+    pub(super) fn prefill_pace(&self, service: &ServiceName) -> Option<f64> {
+        self.prefill_paces.get(service).and_then(|pace| pace.get())
     }
 }
 
@@ -143,7 +143,7 @@
     pub(super) leaving: CancellationToken,
     started_at: BootTime,
     stop_phase: Mutex<StopPhase>,
-    lease: Arc<LeaseClock>,
+    lease: Arc<LeaseEnd>,
     /// Notifies the calls that wait for a lease.
     lease_extended: Notify,
     view: Mutex<EntryView>,
@@ -151,9 +151,9 @@
 
 /// End of the serving lease, in microseconds of the boot clock. It only moves forward.
 #[derive(Debug, Default)]
-struct LeaseClock(AtomicU64);
+struct LeaseEnd(AtomicU64);
 
-impl LeaseClock {
+impl LeaseEnd {
     fn is_valid(&self, now: BootTime) -> bool {
         now.since_boot() < Duration::from_micros(self.0.load(Ordering::Acquire))
     }
@@ -189,11 +189,11 @@
         leaving: CancellationToken,
         log: Logger,
     ) -> Self {
-        let lease = Arc::new(LeaseClock::default());
+        let lease = Arc::new(LeaseEnd::default());
         let asked = Arc::clone(&lease);
         let options = ClientOptions {
             connect_timeout: CONNECT_TIMEOUT,
-            user_timeout: USER_TIMEOUT,
+            user_timeout: TCP_USER_TIMEOUT,
             idle_timeout: IDLE_TIMEOUT,
             // The process may be suspended after the check of the lease, and a key withdrawn meanwhile. The lease is
             // therefore checked again with each write.
@@ -260,7 +260,7 @@
     pub(super) fn confirm_lease(&self, asked_at: BootTime) {
         self.view().standing.record_confirmed(asked_at);
         self.lease
-            .extend(asked_at + self.settings.key_withdrawal.mul_f64(LEASE_PART));
+            .extend(asked_at + self.settings.key_withdrawal.mul_f64(LEASE_FRACTION));
         self.lease_extended.notify_waiters();
     }
 
@@ -328,7 +328,7 @@
         let window = WindowNumber::at(wall_millis, length);
         view.starts.count(window, customer);
         view.starts
-            .remove_before(WindowNumber(window.0.saturating_sub(KEPT_WINDOWS)));
+            .remove_before(WindowNumber(window.0.saturating_sub(REPORTED_WINDOWS)));
     }
 
     /// Counts work as outstanding at an endpoint until the returned guard is dropped.
@@ -343,6 +343,8 @@
 
     /// Returns the memory size of a service's engines in tokens, or 0 if the configuration has no engines for it.
     pub(super) fn engine_memory(&self, service: &ServiceName) -> u64 {
-        self.view().engine(service).map_or(0, |engine| engine.memory_tokens)
+        self.view()
+            .engine_spec(service)
+            .map_or(0, |engine| engine.memory_tokens)
     }
 }
--- a/crates/acacia-entry/src/serving/stream_call.rs
+++ b/crates/acacia-entry/src/serving/stream_call.rs
@@ -200,7 +200,7 @@
         let Some(prompt) = &self.call.head.prompt else {
             return Ok(None);
         };
-        let pace = self.call.shared.view().own_pace(&self.call.service);
+        let pace = self.call.shared.view().prefill_pace(&self.call.service);
         if is_read_by_maker(prompt, pace) || !self.call.shared.has_prefill_engines(boot_now(), &self.call.service) {
             return Ok(None);
         }
@@ -233,7 +233,7 @@
         let outcome = send(&self.call, chosen, role, resume_after, timeouts).await;
         if matches!(outcome, AttemptOutcome::Answered(_)) {
             let took = boot_now().since(sent_at);
-            self.call.shared.view().note_first_answer(&self.call.service, took);
+            self.call.shared.view().record_first_answer(&self.call.service, took);
         }
         outcome
     }
