--- a/crates/acacia-entry/src/serving/call.rs
+++ b/crates/acacia-entry/src/serving/call.rs
@@ -61,13 +61,13 @@
 /// Handles one request of a caller.
 pub(super) async fn answer(shared: Arc<EntryShared>, request: Request<Incoming>) -> Response<ResponseBody> {
     let received_at = boot_now();
-    let was_stopping = shared.leaving.is_cancelled();
+    let was_stopping = shared.stopping.is_cancelled();
     let mut response = match accept(&shared, request, received_at).await {
         Ok(call) if call.route().kind.is_stream() => stream_call::answer(call).await,
         Ok(call) => plain_call::answer(call).await,
         Err((head, refusal)) => refuse(&shared, head.as_ref(), refusal, received_at),
     };
-    if was_stopping || shared.leaving.is_cancelled() {
+    if was_stopping || shared.stopping.is_cancelled() {
         // If the caller kept the connection, the stopping entry would close it during a later request.
         response
             .headers_mut()
@@ -108,10 +108,10 @@
         return;
     };
     metrics::counter!("acacia_calls_held_total").increment(1);
-    shared.await_lease(hold).await;
+    shared.wait_for_lease(hold).await;
     let now = boot_now();
     slog::info!(shared.log, "call held"; "event" => event::CALL_HELD, "request" => &head.request,
-        "waited_ms" => whole_millis(now.since(received_at)), "leased" => shared.may_serve(now));
+        "waited_ms" => whole_millis(now.since(received_at)), "leased" => shared.has_lease(now));
 }
 
 type RefusedCall = (Option<CallHead>, CallRefusal);
@@ -122,7 +122,7 @@
     received_at: BootTime,
 ) -> Result<AcceptedCall, RefusedCall> {
     let (parts, body) = request.into_parts();
-    if !shared.may_serve(received_at) {
+    if !shared.has_lease(received_at) {
         hold_for_first_lease(shared, &parts, received_at).await;
     }
     let now = boot_now();
@@ -131,7 +131,7 @@
         .as_ref()
         .map_or(usize::MAX, |index| index.config().limits.head_bytes);
     let head = shared.codec.read_head(&parts, max_head_bytes);
-    let Some(index) = index.filter(|_| shared.may_serve(now)) else {
+    let Some(index) = index.filter(|_| shared.has_lease(now)) else {
         let wait = shared.lease_outage().retry_after(now);
         return Err((head.ok(), not_run("no lease", wait)));
     };
@@ -139,7 +139,7 @@
         HeadError::Malformed(reason) => (None, CallRefusal::BadHead(reason)),
         HeadError::TooLarge => (None, CallRefusal::HeadTooLarge),
     })?;
-    if !shared.takes_calls(now) {
+    if !shared.accepts_calls(now) {
         return Err((Some(head), not_run("entry is stopping", SHORT_RETRY_DELAY)));
     }
     let bounds = index.config().limits;
@@ -164,7 +164,7 @@
     let Some(service) = admitted.route.pick_service(request_hash).cloned() else {
         return Err((Some(head), CallRefusal::NoRoute));
     };
-    shared.note_call(boot_now(), &service, head.prompt.as_ref());
+    shared.record_call(boot_now(), &service, head.prompt.as_ref());
     Ok(AcceptedCall {
         shared: Arc::clone(shared),
         parts,
--- a/crates/acacia-entry/src/serving/plain_call.rs
+++ b/crates/acacia-entry/src/serving/plain_call.rs
@@ -62,7 +62,7 @@
         let Some(chosen) = chosen else {
             return Err(attempts.refusal("no endpoint", NO_ENDPOINT_RETRY_DELAY));
         };
-        let guard = call.shared.begin_work(&chosen.name, single_call());
+        let guard = call.shared.add_work(&chosen.name, single_call());
         let timeouts = AttemptTimeouts {
             suspect_after: None,
             give_up_after: call.deadline.since(now),
@@ -84,7 +84,7 @@
             }
             AttemptOutcome::NotRun { arrived } => {
                 attempts.rejections += 1;
-                let is_free = !arrived || call.shared.spend_send(boot_now(), &call.service);
+                let is_free = !arrived || call.shared.acquire_retry(boot_now(), &call.service);
                 if attempts.rejections > MAX_REJECTIONS || !is_free {
                     return Err(attempts.refusal("turned away", SHORT_RETRY_DELAY));
                 }
@@ -138,7 +138,7 @@
     let other = call
         .shared
         .choose_for_plain_call(now, &call.service, &tried, call.request_hash);
-    let goes_on = other.is_some() && call.shared.spend_send(now, &call.service);
+    let goes_on = other.is_some() && call.shared.acquire_retry(now, &call.service);
     slog::info!(call.shared.log, "endpoint failed a call"; "event" => event::ATTEMPT_FAILED,
         "request" => &call.head.request, "endpoint" => chosen.name.as_str(),
         "status" => reply.response.status().as_u16(), "other" => other.map(|other| other.name.to_string()),
@@ -159,7 +159,7 @@
     call.route().kind.may_repeat()
         && attempts.possible_runs < call.route().max_attempts
         && now < call.deadline
-        && call.shared.spend_send(now, &call.service)
+        && call.shared.acquire_retry(now, &call.service)
 }
 
 /// Reads a small answer whole, or begins to pass a large one on; nothing if it broke off before its end.
--- a/crates/acacia-entry/src/serving/prefill.rs
+++ b/crates/acacia-entry/src/serving/prefill.rs
@@ -118,7 +118,7 @@
                 wait.clamp(SHORT_RETRY_DELAY, SHORT_RETRY_DELAY.max(left)),
             ));
         }
-        if arrived && !call.shared.spend_send(now, &call.service) {
+        if arrived && !call.shared.acquire_retry(now, &call.service) {
             return Err(not_run("no second send left", SHORT_RETRY_DELAY));
         }
         match prefill_on(call, prompt, &reader).await {
@@ -157,7 +157,7 @@
         held_tokens: 0,
     };
     let queued = call.shared.view().loads.work(&chosen.name).unread_tokens;
-    let _guard = call.shared.begin_work(&chosen.name, work);
+    let _guard = call.shared.add_work(&chosen.name, work);
     let bound = place.wait.mul_f64(PREFILL_TIMEOUT_FACTOR) + PREFILL_TIMEOUT_MARGIN;
     let timeouts = AttemptTimeouts {
         // The engine may be busy with work of other entries that this one has not heard of, so a slow engine is not
--- a/crates/acacia-entry/src/serving/shared.rs
+++ b/crates/acacia-entry/src/serving/shared.rs
@@ -140,7 +140,7 @@
     pub(super) log: Logger,
     /// Cancelled when the process is asked to stop. The entry still accepts calls, but answers with
     /// `Connection: close`, so that callers go to other entries.
-    pub(super) leaving: CancellationToken,
+    pub(super) stopping: CancellationToken,
     started_at: BootTime,
     stop_phase: Mutex<StopPhase>,
     lease: Arc<LeaseEnd>,
@@ -186,18 +186,18 @@
     pub(super) fn new(
         settings: ServingEntrySettings,
         codec: Arc<dyn CallCodec>,
-        leaving: CancellationToken,
+        stopping: CancellationToken,
         log: Logger,
     ) -> Self {
         let lease = Arc::new(LeaseEnd::default());
-        let asked = Arc::clone(&lease);
+        let lease_end = Arc::clone(&lease);
         let options = ClientOptions {
             connect_timeout: CONNECT_TIMEOUT,
             user_timeout: TCP_USER_TIMEOUT,
             idle_timeout: IDLE_TIMEOUT,
             // The process may be suspended after the check of the lease, and a key withdrawn meanwhile. The lease is
             // therefore checked again with each write.
-            guard: Some(WriteGuard::new(move || asked.is_valid(boot_now()))),
+            guard: Some(WriteGuard::new(move || lease_end.is_valid(boot_now()))),
             ..ClientOptions::default()
         };
         Self {
@@ -206,7 +206,7 @@
             codec,
             client: EndpointClient::new(options),
             log,
-            leaving,
+            stopping,
             started_at: boot_now(),
             stop_phase: Mutex::default(),
             lease,
@@ -220,7 +220,7 @@
     }
 
     /// Returns true if the entry has a valid lease at `now`.
-    pub(super) fn may_serve(&self, now: BootTime) -> bool {
+    pub(super) fn has_lease(&self, now: BootTime) -> bool {
         self.lease.is_valid(now)
     }
 
@@ -235,11 +235,11 @@
     }
 
     /// Waits until the entry has a lease, or `hold` has passed.
-    pub(super) async fn await_lease(&self, hold: Duration) {
+    pub(super) async fn wait_for_lease(&self, hold: Duration) {
         let waiting = async {
             loop {
                 let extended = self.lease_extended.notified();
-                if self.may_serve(boot_now()) {
+                if self.has_lease(boot_now()) {
                     return;
                 }
                 extended.await;
@@ -265,12 +265,12 @@
     }
 
     /// Records that the process was asked to stop.
-    pub(super) fn ask_stop(&self, now: BootTime) {
+    pub(super) fn request_stop(&self, now: BootTime) {
         self.stop_phase.lock().request_stop(now);
     }
 
     /// Returns true unless the process is so close to its end that new calls are refused.
-    pub(super) fn takes_calls(&self, now: BootTime) -> bool {
+    pub(super) fn accepts_calls(&self, now: BootTime) -> bool {
         self.stop_phase.lock().accepts_calls(now)
     }
 
@@ -278,41 +278,41 @@
     pub(super) fn is_ready(&self, now: BootTime) -> bool {
         let view = self.view();
         let knows_all = view.index.is_some() && view.heard_endpoints;
-        knows_all && self.may_serve(now) && !self.leaving.is_cancelled()
+        knows_all && self.has_lease(now) && !self.stopping.is_cancelled()
     }
 
     /// Records an accepted call for the retry limit and the demand of its service.
-    pub(super) fn note_call(&self, now: BootTime, service: &ServiceName, prompt: Option<&PromptShape>) {
-        let bound = self.bound();
+    pub(super) fn record_call(&self, now: BootTime, service: &ServiceName, prompt: Option<&PromptShape>) {
+        let limit = self.retry_limit();
         let mut view = self.view();
         view.budgets
             .entry(service.clone())
             .or_default()
-            .record_call(now, &bound);
+            .record_call(now, &limit);
         let demand = view.demands.entry(service.clone()).or_default();
         demand.calls += 1;
         demand.output_tokens += prompt.map_or(0, |prompt| prompt.output_tokens);
     }
 
     /// Acquires one retry from the retry limit of a service. Returns false if the limit is reached.
-    pub(super) fn spend_send(&self, now: BootTime, service: &ServiceName) -> bool {
-        let bound = self.bound();
+    pub(super) fn acquire_retry(&self, now: BootTime, service: &ServiceName) -> bool {
+        let limit = self.retry_limit();
         let mut view = self.view();
         let entries = view.entries;
         let budget = view.budgets.entry(service.clone()).or_default();
-        let granted = budget.try_acquire(now, &bound, entries);
+        let granted = budget.try_acquire(now, &limit, entries);
         if !granted {
             metrics::counter!("acacia_send_budget_exhausted_total").increment(1);
         }
         granted
     }
 
-    fn bound(&self) -> RetryLimit {
-        let bound = self.settings.send_bound;
+    fn retry_limit(&self) -> RetryLimit {
+        let limit = self.settings.send_bound;
         RetryLimit {
-            ratio: bound.ratio,
-            slack: bound.slack,
-            window: bound.window,
+            ratio: limit.ratio,
+            slack: limit.slack,
+            window: limit.window,
         }
     }
 
@@ -332,7 +332,7 @@
     }
 
     /// Counts work as outstanding at an endpoint until the returned guard is dropped.
-    pub(super) fn begin_work(self: &Arc<Self>, endpoint: &EndpointName, work: EndpointWork) -> LoadGuard {
+    pub(super) fn add_work(self: &Arc<Self>, endpoint: &EndpointName, work: EndpointWork) -> LoadGuard {
         self.view().loads.begin(endpoint, work);
         LoadGuard {
             shared: Arc::clone(self),
--- a/crates/acacia-entry/src/serving/start.rs
+++ b/crates/acacia-entry/src/serving/start.rs
@@ -95,7 +95,7 @@
         move |request| call::answer(Arc::clone(&answering), request),
     ));
     stop.cancelled().await;
-    shared.ask_stop(boot_now());
+    shared.request_stop(boot_now());
     slog::info!(log, "entry stopping"; "event" => event::STOPPING);
     tokio::time::sleep(ACCEPTING_TIME.min(grace / 2)).await;
     closing.cancel();
@@ -143,7 +143,7 @@
             let view = shared.view();
             slog::info!(shared.log, "readiness changed"; "event" => event::READINESS_CHANGED, "ready" => is_ready,
                 "config" => view.held.number.0, "endpoints" => view.registry.rows().count(),
-                "lease" => shared.may_serve(now), "leaving" => shared.leaving.is_cancelled());
+                "lease" => shared.has_lease(now), "leaving" => shared.stopping.is_cancelled());
         }
         shared.view().forget_silent(now);
     }
--- a/crates/acacia-entry/src/serving/stream_call.rs
+++ b/crates/acacia-entry/src/serving/stream_call.rs
@@ -94,7 +94,7 @@
         self.call.route().kind.may_repeat()
             && self.possible_runs < self.call.route().max_attempts
             && now < self.call.deadline
-            && self.call.shared.spend_send(now, &self.call.service)
+            && self.call.shared.acquire_retry(now, &self.call.service)
     }
 
     /// Returns the time for which the engine may send nothing.
@@ -136,7 +136,7 @@
             let Some(chosen) = chosen else {
                 return Err(self.refusal("no engine makes tokens", NO_ENDPOINT_RETRY_DELAY));
             };
-            let guard = self.call.shared.begin_work(&chosen.name, self.decode_work());
+            let guard = self.call.shared.add_work(&chosen.name, self.decode_work());
             let outcome = self.send_to(&chosen, prefilled.as_ref(), resume_after).await;
             match outcome {
                 AttemptOutcome::Answered(reply) => {
@@ -173,7 +173,7 @@
                         // prefilled prompt is probably gone.
                         prefilled = None;
                     }
-                    let may_ask = self.call.shared.spend_send(boot_now(), &self.call.service);
+                    let may_ask = self.call.shared.acquire_retry(boot_now(), &self.call.service);
                     if self.rejections > MAX_REJECTIONS || !may_ask {
                         return Err(self.refusal("turned away", SHORT_RETRY_DELAY));
                     }
