--- a/crates/acacia-entry/src/serving/attempt.rs
+++ b/crates/acacia-entry/src/serving/attempt.rs
@@ -1,4 +1,4 @@
-//! One send of a call to one endpoint.
+//! A single attempt to send a call to one endpoint.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -14,37 +14,38 @@
 use hyper::header::CONTENT_LENGTH;
 use hyper::{Response, StatusCode};
 
-use super::call::OpenCall;
-use super::choice::ChosenEndpoint;
+use super::call::AcceptedCall;
 use super::codec::{AttemptHead, AttemptRole};
+use super::endpoint_choice::ChosenEndpoint;
 
-/// How much earlier than the endpoint closes it a connection is given up, so that no request crosses the close.
-const KEEP_MARGIN: Duration = Duration::from_secs(1);
+/// Time by which an idle connection is closed earlier than the endpoint closes it. Without it, a request could be sent
+/// while the endpoint is closing the connection.
+const IDLE_CLOSE_MARGIN: Duration = Duration::from_secs(1);
 
-/// What a send came to.
+/// Result of an attempt.
 #[derive(Debug)]
 pub(super) enum AttemptOutcome {
-    /// The endpoint has answered; the body may still be arriving.
+    /// The endpoint has answered. The body may be incomplete yet.
     Answered(Box<EndpointReply>),
-    /// The endpoint cannot have run the call: nothing was sent, or it says so itself. `arrived` tells which.
+    /// The endpoint has not run the call: either nothing was sent, or the endpoint itself states so.
     NotRun {
-        /// Whether the endpoint got the call.
+        /// True if the endpoint received the call, false if nothing was sent.
         arrived: bool,
     },
-    /// The endpoint may have run the call.
+    /// The endpoint may have run the call, but its answer was lost.
     Lost,
-    /// The time for the send has passed, and the endpoint may be running the call.
+    /// The time limit of the attempt passed. The endpoint may still be running the call.
     TimedOut,
 }
 
-/// An endpoint's answer.
+/// Answer of an endpoint, with the connection on which it arrives.
 #[derive(Debug)]
 pub(super) struct EndpointReply {
     pub(super) response: Response<Incoming>,
     pub(super) connection: KeptConnection,
 }
 
-/// The connection of an answer, to be used again once the answer is whole.
+/// Connection of an answer, which can be reused once the answer is complete.
 #[derive(Debug)]
 pub(super) struct KeptConnection {
     finished: FinishedConnection,
@@ -52,63 +53,63 @@
 }
 
 impl KeptConnection {
-    /// Keeps the connection for other calls.
-    pub(super) async fn give_back(self, call: &OpenCall) {
+    /// Returns the connection to the pool.
+    pub(super) async fn return_to_pool(self, call: &AcceptedCall) {
         let client = &call.shared.client;
         let now = boot_now();
-        match self.keep.map(|keep| keep.saturating_sub(KEEP_MARGIN)) {
+        match self.keep.map(|keep| keep.saturating_sub(IDLE_CLOSE_MARGIN)) {
             Some(keep) => client.give_back_for(now, self.finished, keep).await,
             None => client.give_back(now, self.finished).await,
         }
     }
 }
 
-/// A send that is waited for. Dropped before its end, it logs that the caller has left.
+/// Attempt that awaits its answer. If it is dropped before it has ended, the caller has disconnected, which is logged.
 #[derive(Debug)]
-struct WatchedSend<'call> {
-    call: &'call OpenCall,
+struct PendingAttempt<'call> {
+    call: &'call AcceptedCall,
     chosen: &'call ChosenEndpoint,
     role: AttemptRole<'call>,
     sent_at: BootTime,
-    /// How long the endpoint would have been waited for.
-    bound: Duration,
-    is_ended: bool,
+    /// Time limit of the attempt.
+    give_up_after: Duration,
+    has_ended: bool,
 }
 
-impl Drop for WatchedSend<'_> {
+impl Drop for PendingAttempt<'_> {
     fn drop(&mut self) {
-        if self.is_ended {
+        if self.has_ended {
             return;
         }
         let call = self.call;
         let now = boot_now();
         slog::info!(call.shared.log, "call abandoned"; "event" => event::CALL_ABANDONED,
             "request" => &call.head.request, "route" => &call.route().name, "endpoint" => self.chosen.name.as_str(),
-            "role" => ?self.role, "patience_ms" => whole_millis(call.until.since(call.received_at)),
+            "role" => ?self.role, "patience_ms" => whole_millis(call.deadline.since(call.received_at)),
             "after_ms" => whole_millis(now.since(call.received_at)),
-            "sent_ms" => whole_millis(now.since(self.sent_at)), "bound_ms" => whole_millis(self.bound),
+            "sent_ms" => whole_millis(now.since(self.sent_at)), "bound_ms" => whole_millis(self.give_up_after),
             "report" => self.chosen.endpoint.sequence);
         metrics::counter!("acacia_calls_abandoned_total").increment(1);
     }
 }
 
-/// How long an endpoint is waited for.
+/// Time limits of an attempt.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct SendPatience {
-    /// After this silence the endpoint is doubted, and other calls go elsewhere meanwhile; `None` where nobody can tell
-    /// what is usual.
-    pub(super) doubt_after: Option<Duration>,
-    /// After this time the send is given up.
-    pub(super) bound: Duration,
+pub(super) struct AttemptTimeouts {
+    /// Time without an answer after which the endpoint is suspected and other calls avoid it, or `None` if it is unknown
+    /// how long answers usually take.
+    pub(super) suspect_after: Option<Duration>,
+    /// Time after which the attempt is given up.
+    pub(super) give_up_after: Duration,
 }
 
-/// Sends a call and waits for the head of the answer.
+/// Sends a call to an endpoint and waits for the head of the answer. Records a failure in the load table.
 pub(super) async fn send(
-    call: &OpenCall,
+    call: &AcceptedCall,
     chosen: &ChosenEndpoint,
     role: AttemptRole<'_>,
     resume_after: Option<u64>,
-    patience: SendPatience,
+    timeouts: AttemptTimeouts,
 ) -> AttemptOutcome {
     let sent_at = boot_now();
     let attempt = AttemptHead {
@@ -122,7 +123,7 @@
     let mut request = call
         .shared
         .codec
-        .attempt_head(&call.parts, &attempt)
+        .write_attempt_head(&call.parts, &attempt)
         .map(|()| Full::new(call.body.clone()));
     if !call.body.is_empty() || call.parts.headers.contains_key(CONTENT_LENGTH) {
         request.headers_mut().insert(CONTENT_LENGTH, call.body.len().into());
@@ -131,19 +132,19 @@
         .shared
         .client
         .send(sent_at, chosen.endpoint.address, ConnectionChoice::Pooled, request);
-    let mut watched = WatchedSend {
+    let mut pending = PendingAttempt {
         call,
         chosen,
         role,
         sent_at,
-        bound: patience.bound,
-        is_ended: false,
+        give_up_after: timeouts.give_up_after,
+        has_ended: false,
     };
     let answer = tokio::select! {
-        answer = tokio::time::timeout(patience.bound, sending) => answer,
-        never = doubt_in_time(call, chosen, sent_at, patience.doubt_after) => match never {},
+        answer = tokio::time::timeout(timeouts.give_up_after, sending) => answer,
+        never = suspect_if_silent(call, chosen, sent_at, timeouts.suspect_after) => match never {},
     };
-    watched.is_ended = true;
+    pending.has_ended = true;
     let outcome = match answer {
         Err(_elapsed) => (AttemptOutcome::TimedOut, "no answer in time".to_owned()),
         Ok(Err(failure)) => {
@@ -154,14 +155,14 @@
             (outcome, failure.to_string())
         }
         Ok(Ok(answer)) => {
-            let head = call.shared.codec.read_answer(answer.response.headers());
+            let head = call.shared.codec.read_answer_head(answer.response.headers());
             let status = answer.response.status();
             if head
                 .request
                 .as_ref()
                 .is_some_and(|request| *request != call.head.request)
             {
-                slog::warn!(call.shared.log, "answer crossed"; "event" => event::ANSWER_CROSSED,
+                slog::warn!(call.shared.log, "answer belongs to another request"; "event" => event::ANSWER_CROSSED,
                     "request" => &call.head.request, "answered" => head.request, "endpoint" => chosen.name.as_str());
                 (AttemptOutcome::Lost, "answer to another request".to_owned())
             } else if head.not_run || status == StatusCode::MISDIRECTED_REQUEST {
@@ -195,19 +196,20 @@
     outcome
 }
 
-/// Notes that an endpoint is silent for longer than is usual, while the call goes on waiting for it; never ends.
-async fn doubt_in_time(
-    call: &OpenCall,
+/// Marks an endpoint as silent if it has not answered after `suspect_after`. Never completes, so that the call keeps
+/// waiting for the endpoint.
+async fn suspect_if_silent(
+    call: &AcceptedCall,
     chosen: &ChosenEndpoint,
     sent_at: BootTime,
-    doubt_after: Option<Duration>,
+    suspect_after: Option<Duration>,
 ) -> Infallible {
-    let Some(doubt_after) = doubt_after else {
+    let Some(suspect_after) = suspect_after else {
         return std::future::pending().await;
     };
-    tokio::time::sleep(doubt_after).await;
+    tokio::time::sleep(suspect_after).await;
     let now = boot_now();
-    slog::info!(call.shared.log, "endpoint is doubted"; "event" => event::ENDPOINT_DOUBTED,
+    slog::info!(call.shared.log, "endpoint suspected"; "event" => event::ENDPOINT_DOUBTED,
         "request" => &call.head.request, "endpoint" => chosen.name.as_str(),
         "sent_ms" => whole_millis(now.since(sent_at)), "report" => chosen.endpoint.sequence);
     call.shared.view().loads.record_silence(now, &chosen.name);
--- a/crates/acacia-entry/src/serving/call.rs
+++ b/crates/acacia-entry/src/serving/call.rs
@@ -1,4 +1,5 @@
-//! What every call passes: the lease, its route and key, its body.
+//! Checks that every call has to pass before it is sent to an endpoint: the lease, its head, its route and key, and its
+//! body.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,17 +19,17 @@
 use hyper::http::request::Parts;
 use hyper::{Request, Response};
 
-use super::codec::{CallHead, HeadFault};
-use super::refusal::{CallRefusal, SOON, not_run};
+use super::codec::{CallHead, HeadError};
+use super::refusal::{CallRefusal, SHORT_RETRY_DELAY, not_run};
 use super::shared::EntryShared;
 use super::{plain_call, stream_call};
 
-/// How much earlier than the caller an endpoint is told to stop: the way back.
-pub(super) const WAY_BACK: Duration = Duration::from_millis(10);
+/// Time by which the endpoint's deadline is earlier than the caller's, so that the answer can travel back.
+pub(super) const ANSWER_MARGIN: Duration = Duration::from_millis(10);
 
-/// A call that may be sent to an endpoint.
+/// Call that has passed all checks and may be sent to an endpoint.
 #[derive(Debug)]
-pub(super) struct OpenCall {
+pub(super) struct AcceptedCall {
     pub(super) shared: Arc<EntryShared>,
     pub(super) parts: Parts,
     pub(super) head: CallHead,
@@ -36,13 +37,13 @@
     pub(super) admitted: AdmittedCall,
     pub(super) service: ServiceName,
     pub(super) received_at: BootTime,
-    /// When the caller has to have its answer.
-    pub(super) until: BootTime,
-    /// A number drawn from the request's identity, to spread calls.
-    pub(super) draw: u64,
+    /// Time by which the caller must have received the answer.
+    pub(super) deadline: BootTime,
+    /// Hash of the request identifier, by which calls are spread over services and endpoints.
+    pub(super) request_hash: u64,
 }
 
-impl OpenCall {
+impl AcceptedCall {
     pub(super) fn route(&self) -> &CallRoute {
         &self.admitted.route
     }
@@ -51,23 +52,23 @@
         self.admitted.customer.as_ref().map(|customer| &customer.name)
     }
 
-    /// Returns how long an endpoint may still work on the call.
+    /// Returns the time that an endpoint has left for the call.
     pub(super) fn time_left(&self, now: BootTime) -> Duration {
-        self.until.since(now + WAY_BACK)
+        self.deadline.since(now + ANSWER_MARGIN)
     }
 }
 
-/// Answers one call.
+/// Handles one request of a caller.
 pub(super) async fn answer(shared: Arc<EntryShared>, request: Request<Incoming>) -> Response<ResponseBody> {
     let received_at = boot_now();
-    let is_leaving = shared.leaving.is_cancelled();
-    let mut response = match open(&shared, request, received_at).await {
+    let was_stopping = shared.stopping.is_cancelled();
+    let mut response = match accept(&shared, request, received_at).await {
         Ok(call) if call.route().kind.is_stream() => stream_call::answer(call).await,
         Ok(call) => plain_call::answer(call).await,
         Err((head, refusal)) => refuse(&shared, head.as_ref(), refusal, received_at),
     };
-    if is_leaving || shared.leaving.is_cancelled() {
-        // A caller that keeps this connection would find it closed in the middle of a later request.
+    if was_stopping || shared.stopping.is_cancelled() {
+        // If the caller kept the connection, the stopping entry would close it during a later request.
         response
             .headers_mut()
             .insert(CONNECTION, HeaderValue::from_static("close"));
@@ -75,7 +76,7 @@
     response
 }
 
-/// Answers a call that no endpoint answers.
+/// Logs and counts a refused call, and returns the response to it.
 pub(super) fn refuse(
     shared: &EntryShared,
     head: Option<&CallHead>,
@@ -97,74 +98,74 @@
     shared.codec.write_refusal(request, &refusal)
 }
 
-/// Waits a moment for the lease of an entry that has just started, where the caller says that it can wait.
-async fn hold_without_lease(shared: &EntryShared, parts: &Parts, received_at: BootTime) {
+/// Waits for the first lease after the start of the entry, if the caller has sent a time limit that allows it.
+async fn hold_for_first_lease(shared: &EntryShared, parts: &Parts, received_at: BootTime) {
     let Ok(head) = shared.codec.read_head(parts, usize::MAX) else {
         return;
     };
-    let until = head.patience.map(|patience| received_at + patience);
-    let Some(hold) = until.and_then(|until| shared.lease_outage().hold_time(received_at, until)) else {
+    let deadline = head.timeout.map(|timeout| received_at + timeout);
+    let Some(hold) = deadline.and_then(|deadline| shared.lease_outage().hold_time(received_at, deadline)) else {
         return;
     };
     metrics::counter!("acacia_calls_held_total").increment(1);
-    shared.await_lease(hold).await;
+    shared.wait_for_lease(hold).await;
     let now = boot_now();
     slog::info!(shared.log, "call held"; "event" => event::CALL_HELD, "request" => &head.request,
-        "waited_ms" => whole_millis(now.since(received_at)), "leased" => shared.may_serve(now));
+        "waited_ms" => whole_millis(now.since(received_at)), "leased" => shared.has_lease(now));
 }
 
 type RefusedCall = (Option<CallHead>, CallRefusal);
 
-async fn open(
+async fn accept(
     shared: &Arc<EntryShared>,
     request: Request<Incoming>,
     received_at: BootTime,
-) -> Result<OpenCall, RefusedCall> {
+) -> Result<AcceptedCall, RefusedCall> {
     let (parts, body) = request.into_parts();
-    if !shared.may_serve(received_at) {
-        hold_without_lease(shared, &parts, received_at).await;
+    if !shared.has_lease(received_at) {
+        hold_for_first_lease(shared, &parts, received_at).await;
     }
     let now = boot_now();
     let index = shared.view().index.clone();
-    let largest_head = index
+    let max_head_bytes = index
         .as_ref()
         .map_or(usize::MAX, |index| index.config().limits.head_bytes);
-    let head = shared.codec.read_head(&parts, largest_head);
-    let Some(index) = index.filter(|_| shared.may_serve(now)) else {
+    let head = shared.codec.read_head(&parts, max_head_bytes);
+    let Some(index) = index.filter(|_| shared.has_lease(now)) else {
         let wait = shared.lease_outage().retry_after(now);
         return Err((head.ok(), not_run("no lease", wait)));
     };
     let head = head.map_err(|fault| match fault {
-        HeadFault::Malformed(reason) => (None, CallRefusal::BadHead(reason)),
-        HeadFault::TooLarge => (None, CallRefusal::HeadTooLarge),
+        HeadError::Malformed(reason) => (None, CallRefusal::BadHead(reason)),
+        HeadError::TooLarge => (None, CallRefusal::HeadTooLarge),
     })?;
-    if !shared.takes_calls(now) {
-        return Err((Some(head), not_run("entry is stopping", SOON)));
+    if !shared.accepts_calls(now) {
+        return Err((Some(head), not_run("entry is stopping", SHORT_RETRY_DELAY)));
     }
     let bounds = index.config().limits;
     let admitted = match index.admit(&head.host, &head.path, head.key.as_deref()) {
         Ok(admitted) => admitted,
         Err(_refusal) if !shared.may_deny(now) => {
-            return Err((Some(head), not_run("configuration is not confirmed", SOON)));
+            return Err((Some(head), not_run("configuration is not confirmed", SHORT_RETRY_DELAY)));
         }
         Err(AccessRefusal::NoRoute) => return Err((Some(head), CallRefusal::NoRoute)),
         Err(AccessRefusal::UnknownKey) => return Err((Some(head), CallRefusal::UnknownKey)),
     };
-    let patience = head
-        .patience
+    let timeout = head
+        .timeout
         .unwrap_or(admitted.route.timeout)
         .min(admitted.route.timeout);
-    let body = match read_body(body, bounds.body_bytes, patience).await {
+    let body = match read_body(body, bounds.body_bytes, timeout).await {
         Ok(body) => body,
         Err(BodyRefusal::TooLarge) => return Err((Some(head), CallRefusal::BodyTooLarge)),
         Err(BodyRefusal::TimedOut | BodyRefusal::Broken) => return Err((Some(head), CallRefusal::BodyLate)),
     };
-    let draw = rendezvous::hash(head.request.as_bytes());
-    let Some(service) = admitted.route.pick_service(draw).cloned() else {
+    let request_hash = rendezvous::hash(head.request.as_bytes());
+    let Some(service) = admitted.route.pick_service(request_hash).cloned() else {
         return Err((Some(head), CallRefusal::NoRoute));
     };
-    shared.note_call(boot_now(), &service, head.prompt.as_ref());
-    Ok(OpenCall {
+    shared.record_call(boot_now(), &service, head.prompt.as_ref());
+    Ok(AcceptedCall {
         shared: Arc::clone(shared),
         parts,
         head,
@@ -172,7 +173,7 @@
         admitted,
         service,
         received_at,
-        until: received_at + patience,
-        draw,
+        deadline: received_at + timeout,
+        request_hash,
     })
 }
--- a/crates/acacia-entry/src/serving/plain_call.rs
+++ b/crates/acacia-entry/src/serving/plain_call.rs
@@ -1,4 +1,4 @@
-//! Calls that one endpoint answers as a whole.
+//! Calls that a single endpoint answers completely.
 
 use acacia_http::{ResponseBody, full_body};
 use acacia_runtime::clock::boot_now;
@@ -12,33 +12,34 @@
 use hyper::header::CONTENT_LENGTH;
 use hyper::{Response, StatusCode};
 
-use super::attempt::{AttemptOutcome, EndpointReply, SendPatience, send};
-use super::call::{OpenCall, refuse};
-use super::choice::ChosenEndpoint;
+use super::attempt::{AttemptOutcome, AttemptTimeouts, EndpointReply, send};
+use super::call::{AcceptedCall, refuse};
 use super::codec::AttemptRole;
-use super::refusal::{CallRefusal, NO_ENDPOINT, SOON, not_run};
+use super::endpoint_choice::ChosenEndpoint;
+use super::refusal::{CallRefusal, NO_ENDPOINT_RETRY_DELAY, SHORT_RETRY_DELAY, not_run};
 use super::shared::LoadGuard;
-use super::stream_body::pass_through;
+use super::stream_body::stream_answer;
 
 /// Answers up to this size are read whole before they are passed on: a call that may be repeated can then be sent again
 /// when its answer breaks off.
-const WHOLE_BYTES: usize = 64 * 1024;
-/// How long the rest of an answer that is not passed on may take; a new connection costs about as much.
-const DISCARD_TIME: std::time::Duration = std::time::Duration::from_millis(20);
-/// How often a call may be turned away by endpoints, or find them unreachable, before it is given up.
-const MOST_TURNED_AWAY: u32 = 3;
+const MAX_BUFFERED_BYTES: usize = 64 * 1024;
+/// Time limit for reading a discarded answer to its end so that its connection can be reused. A new connection costs
+/// about as much.
+const DISCARD_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(20);
+/// Number of rejected and unreachable attempts that a call tolerates before it is given up.
+const MAX_REJECTIONS: u32 = 3;
 
-/// What has become of a call so far.
+/// Results of the attempts made for a call so far.
 #[derive(Debug, Default)]
-struct PlainProgress {
+struct PlainAttempts {
     tried: Vec<EndpointName>,
-    /// Sends after which an endpoint may have run the call.
-    ran: u32,
-    turned_away: u32,
+    /// Number of attempts after which an endpoint may have run the call.
+    possible_runs: u32,
+    rejections: u32,
 }
 
-/// Answers a call.
-pub(super) async fn answer(call: OpenCall) -> Response<ResponseBody> {
+/// Answers a call, and logs the endpoint and the duration.
+pub(super) async fn answer(call: AcceptedCall) -> Response<ResponseBody> {
     match run(&call).await {
         Ok((response, endpoint)) => {
             slog::info!(call.shared.log, "call answered"; "event" => event::CALL_ENDED,
@@ -51,57 +52,59 @@
     }
 }
 
-async fn run(call: &OpenCall) -> Result<(Response<ResponseBody>, EndpointName), CallRefusal> {
-    let mut progress = PlainProgress::default();
+async fn run(call: &AcceptedCall) -> Result<(Response<ResponseBody>, EndpointName), CallRefusal> {
+    let mut attempts = PlainAttempts::default();
     loop {
         let now = boot_now();
-        let chosen = call.shared.choose_plain(now, &call.service, &progress.tried, call.draw);
+        let chosen = call
+            .shared
+            .choose_for_plain_call(now, &call.service, &attempts.tried, call.request_hash);
         let Some(chosen) = chosen else {
-            return Err(progress.give_up("no endpoint", NO_ENDPOINT));
+            return Err(attempts.refusal("no endpoint", NO_ENDPOINT_RETRY_DELAY));
         };
-        let guard = call.shared.begin_work(&chosen.name, one_call());
-        let patience = SendPatience {
-            doubt_after: None,
-            bound: call.until.since(now),
+        let guard = call.shared.add_work(&chosen.name, single_call());
+        let timeouts = AttemptTimeouts {
+            suspect_after: None,
+            give_up_after: call.deadline.since(now),
         };
-        let outcome = send(call, &chosen, AttemptRole::Whole, None, patience).await;
+        let outcome = send(call, &chosen, AttemptRole::Whole, None, timeouts).await;
         match outcome {
             AttemptOutcome::Answered(reply) => {
-                if may_go_elsewhere(call, &progress, &chosen, &reply) {
-                    progress.ran += 1;
+                if acquire_retry_elsewhere(call, &attempts, &chosen, &reply) {
+                    attempts.possible_runs += 1;
                     discard(call, *reply).await;
-                } else if let Some(response) = take_answer(call, &chosen, *reply, guard).await {
+                } else if let Some(response) = relay_answer(call, &chosen, *reply, guard).await {
                     return Ok((response, chosen.name));
                 } else {
-                    progress.ran += 1;
-                    if !may_repeat(call, &progress) {
+                    attempts.possible_runs += 1;
+                    if !acquire_retry(call, &attempts) {
                         return Err(CallRefusal::AnswerLost);
                     }
                 }
             }
             AttemptOutcome::NotRun { arrived } => {
-                progress.turned_away += 1;
-                let is_free = !arrived || call.shared.spend_send(boot_now(), &call.service);
-                if progress.turned_away > MOST_TURNED_AWAY || !is_free {
-                    return Err(progress.give_up("turned away", SOON));
+                attempts.rejections += 1;
+                let is_free = !arrived || call.shared.acquire_retry(boot_now(), &call.service);
+                if attempts.rejections > MAX_REJECTIONS || !is_free {
+                    return Err(attempts.refusal("turned away", SHORT_RETRY_DELAY));
                 }
             }
             AttemptOutcome::Lost => {
-                progress.ran += 1;
-                if !may_repeat(call, &progress) {
+                attempts.possible_runs += 1;
+                if !acquire_retry(call, &attempts) {
                     return Err(CallRefusal::AnswerLost);
                 }
             }
             AttemptOutcome::TimedOut => return Err(CallRefusal::TimedOut),
         }
-        progress.tried.push(chosen.name);
+        attempts.tried.push(chosen.name);
     }
 }
 
-impl PlainProgress {
-    /// Refuses the call, and promises that it has not run only where that is certain.
-    const fn give_up(&self, reason: &'static str, retry_after: std::time::Duration) -> CallRefusal {
-        if self.ran == 0 {
+impl PlainAttempts {
+    /// Returns the refusal of the call. It states that the call has not run only if that is certain.
+    const fn refusal(&self, reason: &'static str, retry_after: std::time::Duration) -> CallRefusal {
+        if self.possible_runs == 0 {
             not_run(reason, retry_after)
         } else {
             CallRefusal::AnswerLost
@@ -109,7 +112,7 @@
     }
 }
 
-const fn one_call() -> EndpointWork {
+const fn single_call() -> EndpointWork {
     EndpointWork {
         unread_tokens: 0,
         calls: 1,
@@ -117,17 +120,25 @@
     }
 }
 
-/// Tells whether a failure that an endpoint reports is better tried elsewhere than passed on.
-fn may_go_elsewhere(call: &OpenCall, progress: &PlainProgress, chosen: &ChosenEndpoint, reply: &EndpointReply) -> bool {
+/// Returns true if the endpoint answered with a server error and the call is to be retried at another endpoint. Takes the
+/// retry from the service's retry limit.
+fn acquire_retry_elsewhere(
+    call: &AcceptedCall,
+    attempts: &PlainAttempts,
+    chosen: &ChosenEndpoint,
+    reply: &EndpointReply,
+) -> bool {
     let failed = reply.response.status().is_server_error();
-    if !failed || !call.route().kind.may_repeat() || progress.ran + 1 >= call.route().max_attempts {
+    if !failed || !call.route().kind.may_repeat() || attempts.possible_runs + 1 >= call.route().max_attempts {
         return false;
     }
     let now = boot_now();
-    let mut tried = progress.tried.clone();
+    let mut tried = attempts.tried.clone();
     tried.push(chosen.name.clone());
-    let other = call.shared.choose_plain(now, &call.service, &tried, call.draw);
-    let goes_on = other.is_some() && call.shared.spend_send(now, &call.service);
+    let other = call
+        .shared
+        .choose_for_plain_call(now, &call.service, &tried, call.request_hash);
+    let goes_on = other.is_some() && call.shared.acquire_retry(now, &call.service);
     slog::info!(call.shared.log, "endpoint failed a call"; "event" => event::ATTEMPT_FAILED,
         "request" => &call.head.request, "endpoint" => chosen.name.as_str(),
         "status" => reply.response.status().as_u16(), "other" => other.map(|other| other.name.to_string()),
@@ -135,46 +146,46 @@
     goes_on
 }
 
-/// Reads the rest of an answer that is not passed on, so that its connection can be used again.
-async fn discard(call: &OpenCall, reply: EndpointReply) {
-    let reading = read_whole(reply.response.into_body());
-    if let Ok(Some(_)) = tokio::time::timeout(DISCARD_TIME, reading).await {
-        reply.connection.give_back(call).await;
+/// Reads a discarded answer to its end, so that its connection can be reused.
+async fn discard(call: &AcceptedCall, reply: EndpointReply) {
+    let reading = read_to_end(reply.response.into_body());
+    if let Ok(Some(_)) = tokio::time::timeout(DISCARD_TIMEOUT, reading).await {
+        reply.connection.return_to_pool(call).await;
     }
 }
 
-fn may_repeat(call: &OpenCall, progress: &PlainProgress) -> bool {
+fn acquire_retry(call: &AcceptedCall, attempts: &PlainAttempts) -> bool {
     let now = boot_now();
     call.route().kind.may_repeat()
-        && progress.ran < call.route().max_attempts
-        && now < call.until
-        && call.shared.spend_send(now, &call.service)
+        && attempts.possible_runs < call.route().max_attempts
+        && now < call.deadline
+        && call.shared.acquire_retry(now, &call.service)
 }
 
 /// Reads a small answer whole, or begins to pass a large one on; nothing if it broke off before its end.
-async fn take_answer(
-    call: &OpenCall,
+async fn relay_answer(
+    call: &AcceptedCall,
     chosen: &ChosenEndpoint,
     reply: EndpointReply,
     guard: LoadGuard,
 ) -> Option<Response<ResponseBody>> {
     let EndpointReply { response, connection } = reply;
     let (parts, incoming) = response.into_parts();
-    let headers = call.shared.codec.caller_headers(&parts.headers);
+    let headers = call.shared.codec.filter_answer_headers(&parts.headers);
     call.shared.count_start(call.customer());
     let (status, length) = (parts.status, content_length(&parts.headers));
-    if length.is_some_and(|length| length > WHOLE_BYTES) {
-        let body = pass_through(call, incoming, connection, guard);
-        return Some(assemble(status, headers, body));
+    if length.is_some_and(|length| length > MAX_BUFFERED_BYTES) {
+        let body = stream_answer(call, incoming, connection, guard);
+        return Some(build_response(status, headers, body));
     }
-    let left = call.until.since(boot_now());
-    let Ok(Some(whole)) = tokio::time::timeout(left, read_whole(incoming)).await else {
+    let left = call.deadline.since(boot_now());
+    let Ok(Some(whole)) = tokio::time::timeout(left, read_to_end(incoming)).await else {
         slog::info!(call.shared.log, "answer broke off"; "event" => event::ATTEMPT_FAILED,
             "request" => &call.head.request, "endpoint" => chosen.name.as_str());
         call.shared.view().loads.record_failure(boot_now(), &chosen.name);
         return None;
     };
-    connection.give_back(call).await;
+    connection.return_to_pool(call).await;
     let mut view = call.shared.view();
     if status.is_server_error() {
         view.loads.record_failure(boot_now(), &chosen.name);
@@ -182,14 +193,14 @@
         view.loads.record_success(&chosen.name);
     }
     drop(view);
-    Some(assemble(status, headers, full_body(whole)))
+    Some(build_response(status, headers, full_body(whole)))
 }
 
 fn content_length(headers: &hyper::HeaderMap) -> Option<usize> {
     headers.get(CONTENT_LENGTH)?.to_str().ok()?.parse().ok()
 }
 
-async fn read_whole(mut incoming: Incoming) -> Option<Bytes> {
+async fn read_to_end(mut incoming: Incoming) -> Option<Bytes> {
     let mut whole = BytesMut::new();
     while let Some(frame) = incoming.frame().await {
         if let Ok(data) = frame.ok()?.into_data() {
@@ -199,8 +210,12 @@
     Some(whole.freeze())
 }
 
-/// Puts an endpoint's status, headers and body together for the caller.
-pub(super) fn assemble(status: StatusCode, headers: hyper::HeaderMap, body: ResponseBody) -> Response<ResponseBody> {
+/// Builds the response to the caller.
+pub(super) fn build_response(
+    status: StatusCode,
+    headers: hyper::HeaderMap,
+    body: ResponseBody,
+) -> Response<ResponseBody> {
     let mut response = Response::new(body);
     *response.status_mut() = status;
     *response.headers_mut() = headers;
--- a/crates/acacia-entry/src/serving/prompt_read.rs
+++ b/crates/acacia-entry/src/serving/prefill.rs
@@ -1,4 +1,4 @@
-//! Having a prompt read by one engine, so that another can make the tokens.
+//! Prefill of a prompt on one engine, so that another engine can decode it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,29 +18,30 @@
 use hyper::Request;
 use hyper::header::HOST;
 
-use super::attempt::{AttemptOutcome, EndpointReply, SendPatience, send};
-use super::call::OpenCall;
-use super::choice::{ChosenEndpoint, ChosenReader};
+use super::attempt::{AttemptOutcome, AttemptTimeouts, EndpointReply, send};
+use super::call::AcceptedCall;
 use super::codec::AttemptRole;
-use super::refusal::{CallRefusal, NO_ENDPOINT, SOON, not_run};
+use super::endpoint_choice::{ChosenEndpoint, ChosenPrefillEngine};
+use super::refusal::{CallRefusal, NO_ENDPOINT_RETRY_DELAY, SHORT_RETRY_DELAY, not_run};
 use super::shared::EntryShared;
 
-/// How much longer than expected an engine may take to read a prompt before another one is asked.
-const WAIT_FACTOR: f64 = 3.0;
-/// How much longer beside that: the time of a step of the engine, and of the network.
-const WAIT_MARGIN: Duration = Duration::from_secs(1);
-/// Most engines that are asked to read one prompt and do not.
-const MOST_READERS: usize = 3;
-/// Most engines that are not reached before a prompt is given up: each of them costs a connection attempt.
-const MOST_UNREACHED: usize = 8;
-/// The largest answer of an engine that has read a prompt.
-const LARGEST_HANDLE: usize = 16 * 1024;
-/// How long freeing a handle may take.
+/// Multiple of the expected prefill time, including the queue, after which another engine is asked.
+const PREFILL_TIMEOUT_FACTOR: f64 = 3.0;
+/// Time that is added to this limit for a step of the engine and the network.
+const PREFILL_TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
+/// Number of failed engines after which the prefill of a prompt is given up.
+const MAX_FAILED_ENGINES: usize = 3;
+/// Number of unreachable engines after which the prefill of a prompt is given up. Each of them costs a connection attempt.
+const MAX_UNREACHABLE_ENGINES: usize = 8;
+/// Maximum size of an engine's answer to a prefill request, in bytes.
+const MAX_HANDLE_BYTES: usize = 16 * 1024;
+/// Time limit for freeing a handle.
 const FREE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A prompt that an engine has read and keeps for another. It is freed there unless it is taken.
+/// Prompt that an engine has prefilled and keeps for a decode engine. Dropping the value frees it on the engine, unless a
+/// decode engine has taken it.
 #[derive(Debug)]
-pub(super) struct ReadPrompt {
+pub(super) struct PrefilledPrompt {
     pub(super) address: SocketAddr,
     pub(super) handle: String,
     pub(super) domain: DomainName,
@@ -48,20 +49,20 @@
     is_taken: bool,
 }
 
-impl ReadPrompt {
-    /// Notes that another engine has taken the prompt.
-    pub(super) const fn take(&mut self) {
+impl PrefilledPrompt {
+    /// Records that a decode engine has taken the prompt.
+    pub(super) const fn mark_taken(&mut self) {
         self.is_taken = true;
     }
 }
 
-impl Drop for ReadPrompt {
-    /// Frees a prompt that nobody took: until it lapses, nobody else can use the memory.
+impl Drop for PrefilledPrompt {
+    /// Frees the prompt if no engine has taken it. Otherwise it would occupy the engine's memory until it expires.
     fn drop(&mut self) {
         if self.is_taken {
             return;
         }
-        let (method, path) = self.shared.codec.free_handle(&self.handle);
+        let (method, path) = self.shared.codec.free_handle_request(&self.handle);
         let (shared, address) = (Arc::clone(&self.shared), self.address);
         let request = Request::builder()
             .method(method)
@@ -77,73 +78,74 @@
                     .send(boot_now(), address, ConnectionChoice::Pooled, request)
                     .await;
                 if let Ok(answer) = answer
-                    && read_body(answer.response.into_body(), LARGEST_HANDLE, FREE_TIMEOUT)
+                    && read_body(answer.response.into_body(), MAX_HANDLE_BYTES, FREE_TIMEOUT)
                         .await
                         .is_ok()
                 {
                     shared.client.give_back(boot_now(), answer.connection).await;
                 }
             };
-            // A handle that cannot be freed lapses by itself.
+            // A handle that could not be freed expires on the engine.
             let _late = tokio::time::timeout(FREE_TIMEOUT, freeing).await;
         });
     }
 }
 
-/// Has the prompt of a call read. `repeated` says that it was read before, so that every further send counts.
-pub(super) async fn read_prompt(
-    call: &OpenCall,
+/// Has an engine prefill the prompt of a call. `is_retry` is true if the prompt of this call was sent for prefill before,
+/// so that every attempt counts as a retry.
+pub(super) async fn prefill_prompt(
+    call: &AcceptedCall,
     prompt: &PromptShape,
-    repeated: bool,
-) -> Result<ReadPrompt, CallRefusal> {
+    is_retry: bool,
+) -> Result<PrefilledPrompt, CallRefusal> {
     let mut tried: Vec<EndpointName> = Vec::new();
-    // An engine that was not reached has got nothing, so the next send is still the first one.
-    let mut arrived = repeated;
+    // An engine that was not reached has received nothing, so the next attempt is not a retry.
+    let mut arrived = is_retry;
     let mut failed = 0;
-    while failed < MOST_READERS && tried.len() - failed < MOST_UNREACHED {
+    while failed < MAX_FAILED_ENGINES && tried.len() - failed < MAX_UNREACHABLE_ENGINES {
         let now = boot_now();
-        let found = call.shared.choose_reader(now, &call.service, &tried, prompt);
+        let found = call.shared.choose_prefill_engine(now, &call.service, &tried, prompt);
         let Some(reader) = found else {
-            return Err(not_run("no engine reads prompts", NO_ENDPOINT));
+            return Err(not_run("no engine reads prompts", NO_ENDPOINT_RETRY_DELAY));
         };
-        let left = call.until.since(now);
+        let left = call.deadline.since(now);
         let wait = reader.place.wait;
-        // What is refused has to be read as well, when the caller comes back.
-        note_demand(call, &reader.place);
+        // Demand is recorded for refused calls too, because their callers retry.
+        record_demand(call, &reader.place);
         if wait >= left {
             return Err(not_run(
                 "prompt cannot be read in time",
-                wait.clamp(SOON, SOON.max(left)),
+                wait.clamp(SHORT_RETRY_DELAY, SHORT_RETRY_DELAY.max(left)),
             ));
         }
-        if arrived && !call.shared.spend_send(now, &call.service) {
-            return Err(not_run("no second send left", SOON));
+        if arrived && !call.shared.acquire_retry(now, &call.service) {
+            return Err(not_run("no second send left", SHORT_RETRY_DELAY));
         }
-        match read_at(call, prompt, &reader).await {
-            ReadOutcome::Read(read) => return Ok(read),
-            ReadOutcome::NotReached => {}
-            ReadOutcome::Failed => {
+        match prefill_on(call, prompt, &reader).await {
+            PrefillOutcome::Prefilled(read) => return Ok(read),
+            PrefillOutcome::NotReached => {}
+            PrefillOutcome::Failed => {
                 arrived = true;
                 failed += 1;
             }
         }
         tried.push(reader.engine.name);
     }
-    Err(not_run("engines did not read the prompt", SOON))
+    Err(not_run("engines did not read the prompt", SHORT_RETRY_DELAY))
 }
 
-/// What asking one engine to read a prompt came to.
+/// Result of a prefill request to one engine.
 #[derive(Debug)]
-enum ReadOutcome {
-    Read(ReadPrompt),
-    /// The engine has got nothing of the call.
+enum PrefillOutcome {
+    Prefilled(PrefilledPrompt),
+    /// The engine has received nothing.
     NotReached,
-    /// The engine has got the call and has not read the prompt, as far as is known.
+    /// The engine has received the request, but has not confirmed that it prefilled the prompt.
     Failed,
 }
 
-async fn read_at(call: &OpenCall, prompt: &PromptShape, reader: &ChosenReader) -> ReadOutcome {
-    let ChosenReader {
+async fn prefill_on(call: &AcceptedCall, prompt: &PromptShape, reader: &ChosenPrefillEngine) -> PrefillOutcome {
+    let ChosenPrefillEngine {
         engine: chosen,
         place,
         copy_from,
@@ -155,14 +157,15 @@
         held_tokens: 0,
     };
     let queued = call.shared.view().loads.work(&chosen.name).unread_tokens;
-    let _guard = call.shared.begin_work(&chosen.name, work);
-    let bound = place.wait.mul_f64(WAIT_FACTOR) + WAIT_MARGIN;
-    let patience = SendPatience {
-        // How long a prompt takes depends on work that this entry has not heard of; a slow reader is none that is dead.
-        doubt_after: None,
-        bound: bound.min(call.until.since(began_at)),
+    let _guard = call.shared.add_work(&chosen.name, work);
+    let bound = place.wait.mul_f64(PREFILL_TIMEOUT_FACTOR) + PREFILL_TIMEOUT_MARGIN;
+    let timeouts = AttemptTimeouts {
+        // The engine may be busy with work of other entries that this one has not heard of, so a slow engine is not
+        // suspected.
+        suspect_after: None,
+        give_up_after: bound.min(call.deadline.since(began_at)),
     };
-    // Noted before the answer: calls that come meanwhile with the same parts belong there as well.
+    // Recorded before the answer arrives, so that calls with the same parts go to this engine meanwhile.
     let memory = call.shared.engine_memory(&call.service);
     call.shared
         .view()
@@ -175,18 +178,18 @@
             copy_from: copy_from.as_ref().map(|source| source.endpoint.address),
         },
         None,
-        patience,
+        timeouts,
     )
     .await;
     let reply = match outcome {
         AttemptOutcome::Answered(reply) => reply,
-        AttemptOutcome::NotRun { arrived: false } => return ReadOutcome::NotReached,
+        AttemptOutcome::NotRun { arrived: false } => return PrefillOutcome::NotReached,
         AttemptOutcome::NotRun { arrived: true } | AttemptOutcome::Lost | AttemptOutcome::TimedOut => {
-            return ReadOutcome::Failed;
+            return PrefillOutcome::Failed;
         }
     };
-    let Some(handle) = take_handle(call, chosen, *reply).await else {
-        return ReadOutcome::Failed;
+    let Some(handle) = receive_handle(call, chosen, *reply).await else {
+        return PrefillOutcome::Failed;
     };
     let took = boot_now().since(began_at);
     slog::info!(call.shared.log, "prompt read"; "event" => event::PROMPT_READ, "request" => &call.head.request,
@@ -201,18 +204,18 @@
         unread: place.unread_tokens,
         took,
     };
-    view.note_reading(&call.service, &chosen.name, reading);
+    view.record_prefill_time(&call.service, &chosen.name, reading);
     if let Some(source) = copy_from
         && is_source_lost(&source.endpoint, place.wait, took)
     {
-        slog::info!(call.shared.log, "copy source is gone"; "event" => event::ATTEMPT_FAILED,
+        slog::info!(call.shared.log, "copy source suspected"; "event" => event::ATTEMPT_FAILED,
             "request" => &call.head.request, "endpoint" => source.name.as_str(), "took_ms" => whole_millis(took));
         view.loads.record_unreachable(boot_now(), &source.name);
     }
     view.loads.record_success(&chosen.name);
     view.kept_news.record_prefill(&chosen.name, prompt.shared_parts());
     drop(view);
-    ReadOutcome::Read(ReadPrompt {
+    PrefillOutcome::Prefilled(PrefilledPrompt {
         address: chosen.endpoint.address,
         handle,
         domain: chosen.endpoint.domain.clone(),
@@ -221,7 +224,7 @@
     })
 }
 
-fn note_demand(call: &OpenCall, place: &PromptPlacement) {
+fn record_demand(call: &AcceptedCall, place: &PromptPlacement) {
     let mut view = call.shared.view();
     let demand = view.demands.entry(call.service.clone()).or_default();
     demand.unread_tokens += place.unread_tokens;
@@ -230,12 +233,12 @@
         .max(u64::try_from(place.wait.as_micros()).unwrap_or(u64::MAX));
 }
 
-async fn take_handle(call: &OpenCall, chosen: &ChosenEndpoint, reply: EndpointReply) -> Option<String> {
+async fn receive_handle(call: &AcceptedCall, chosen: &ChosenEndpoint, reply: EndpointReply) -> Option<String> {
     let EndpointReply { response, connection } = reply;
     let status = response.status();
-    let body = read_body(response.into_body(), LARGEST_HANDLE, call.until.since(boot_now())).await;
+    let body = read_body(response.into_body(), MAX_HANDLE_BYTES, call.deadline.since(boot_now())).await;
     let body = body.ok()?;
-    connection.give_back(call).await;
+    connection.return_to_pool(call).await;
     let handle = status
         .is_success()
         .then(|| call.shared.codec.read_prompt_handle(&body))
--- a/crates/acacia-entry/src/serving/shared.rs
+++ b/crates/acacia-entry/src/serving/shared.rs
@@ -1,4 +1,4 @@
-//! What all calls of an entry look at.
+//! State that all calls and sessions of an entry share.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -33,21 +33,22 @@
 
 use super::codec::CallCodec;
 
-/// Which part of the time within which a withdrawn key must stop working an entry serves without a confirmation. The
-/// rest covers a call that is on its way to an endpoint when the lease ends.
-const LEASE_PART: f64 = 0.75;
-/// How long an unused connection to an endpoint is kept that does not say how long it keeps it. An entry that sends a few
-/// calls a second to a hundred endpoints comes back to each within this time; each new connection costs both sides.
+/// Length of the lease as a fraction of the time within which a withdrawn key must stop working. The rest covers calls
+/// that are on their way to an endpoint when the lease ends.
+const LEASE_FRACTION: f64 = 0.75;
+/// Time for which an idle connection is kept if the endpoint does not announce a time of its own. An entry that spreads a
+/// few calls per second over a hundred endpoints reuses each connection within this time. A new connection costs both
+/// sides.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(45);
-/// How long the kernel may go on delivering to an endpoint that does not acknowledge.
-const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// How long a connection attempt to an endpoint may take: in one region it takes milliseconds, and a lost packet is sent
-/// again only after a second, which another endpoint does not need.
+/// Time for which sent data may remain unacknowledged before the kernel closes the connection to an endpoint.
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Time limit for connecting to an endpoint. Within a region this takes milliseconds. A lost packet is retransmitted only
+/// after a second, by which time another endpoint can have answered.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// How many windows of counts are repeated to the leader: those that may still be open.
-const KEPT_WINDOWS: u64 = 4;
+const REPORTED_WINDOWS: u64 = 4;
 
-/// What callers asked of a service since the leader was last told.
+/// Demand for a service since the last report to the leader.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct DemandCount {
     pub(super) calls: u64,
@@ -56,36 +57,36 @@
     pub(super) wait_us: u64,
 }
 
-/// What changes.
+/// Mutable state of the entry: the configuration, the endpoints, and the counters for the next report.
 #[derive(Debug, Default)]
 pub(super) struct EntryView {
     pub(super) index: Option<Arc<ConfigIndex>>,
-    /// The configuration that `index` was made of.
+    /// Configuration from which `index` was built.
     pub(super) held: ConfigDocument,
     pub(super) standing: ConfigFreshness,
     pub(super) registry: EndpointRegistry,
-    /// Whether a replica has told all endpoints that it knows.
+    /// True once a replica has sent the endpoints that it knows.
     pub(super) heard_endpoints: bool,
     pub(super) loads: LoadTable,
     pub(super) entries: u32,
     pub(super) starts: StartCounts,
     pub(super) clock: GroupClock,
-    /// What engines have read for this entry and for others.
+    /// Announcements of the prompt parts that engines have cached.
     pub(super) kept_news: CachedPartOutbox,
     pub(super) demands: BTreeMap<ServiceName, DemandCount>,
-    paces: BTreeMap<ServiceName, PrefillPace>,
+    prefill_paces: BTreeMap<ServiceName, PrefillPace>,
     answer_paces: BTreeMap<ServiceName, AnswerLatency>,
     budgets: HashMap<ServiceName, RetryLimiter>,
 }
 
 impl EntryView {
-    /// Returns what the engines of a service can hold.
-    pub(super) fn engine(&self, service: &ServiceName) -> Option<EngineSpec> {
+    /// Returns the specification of a service's engines, if the configuration has one.
+    pub(super) fn engine_spec(&self, service: &ServiceName) -> Option<EngineSpec> {
         let spec = self.index.as_ref()?.config().services.get(service)?;
         spec.engine
     }
 
-    /// Forgets endpoints that nothing was heard of for long, with what they kept.
+    /// Removes endpoints that have not reported for a long time, and the announcements of what they have cached.
     pub(super) fn forget_silent(&mut self, now: BootTime) {
         let Self {
             registry, kept_news, ..
@@ -94,41 +95,42 @@
         kept_news.retain(|engine| registry.get(engine).is_some());
     }
 
-    /// Takes what an engine keeps that it has read for another entry.
-    pub(super) fn hear_kept(&mut self, kept: &KeptPart) {
+    /// Records that an engine has cached a part that it prefilled for another entry.
+    pub(super) fn record_cached_part(&mut self, kept: &KeptPart) {
         let Some(endpoint) = self.registry.get(&kept.engine) else {
             return;
         };
         let service = endpoint.service.clone();
-        let memory = self.engine(&service).map_or(0, |engine| engine.memory_tokens);
+        let memory = self.engine_spec(&service).map_or(0, |engine| engine.memory_tokens);
         self.kept_news.record_announced(kept);
         self.loads.record_prefill(&kept.engine, &[kept.part], memory);
     }
 
-    /// Notes how long an engine of a service took for a prompt.
-    pub(super) fn note_reading(&mut self, service: &ServiceName, engine: &EndpointName, reading: PrefillTime) {
-        let usual = self.own_pace(service);
+    /// Records how long an engine took to prefill a prompt.
+    pub(super) fn record_prefill_time(&mut self, service: &ServiceName, engine: &EndpointName, reading: PrefillTime) {
+        let usual = self.prefill_pace(service);
         self.loads.record_prefill_time(engine, reading, usual);
-        self.paces.entry(service.clone()).or_default().record(reading);
+        self.prefill_paces.entry(service.clone()).or_default().record(reading);
     }
 
-    /// Notes how long an engine of a service took until it began to make tokens.
-    pub(super) fn note_first_answer(&mut self, service: &ServiceName, took: Duration) {
+    /// Records how long a decode engine took to begin its answer.
+    pub(super) fn record_first_answer(&mut self, service: &ServiceName, took: Duration) {
         self.answer_paces.entry(service.clone()).or_default().record(took);
     }
 
-    /// Returns after which silence an engine of a service that makes tokens is doubted.
-    pub(super) fn doubt_after(&self, service: &ServiceName) -> Option<Duration> {
+    /// Returns the time without an answer after which a decode engine of a service is suspected, if it is known.
+    pub(super) fn suspicion_timeout(&self, service: &ServiceName) -> Option<Duration> {
         self.answer_paces.get(service)?.suspicion_timeout()
     }
 
-    /// Returns how many milliseconds a service's engines take for a token of a prompt by themselves, if that was measured.
-    pub(super) fn own_pace(&self, service: &ServiceName) -> Option<f64> {
-        self.paces.get(service).and_then(|pace| pace.get())
+    /// Returns the prefill time per prompt token of a service's engines in milliseconds, without time in the queue, or
+    /// `None` before the first measurement.
+    pub(super) fn prefill_pace(&self, service: &ServiceName) -> Option<f64> {
+        self.prefill_paces.get(service).and_then(|pace| pace.get())
     }
 }
 
-/// What the tasks of an entry share.
+/// State shared by the tasks of an entry.
 #[derive(Debug)]
 pub(super) struct EntryShared {
     pub(super) settings: ServingEntrySettings,
@@ -136,21 +138,22 @@
     pub(super) codec: Arc<dyn CallCodec>,
     pub(super) client: EndpointClient,
     pub(super) log: Logger,
-    /// Cancelled once the process is to stop: it takes calls on, but asks callers to go elsewhere.
-    pub(super) leaving: CancellationToken,
+    /// Cancelled when the process is asked to stop. The entry still accepts calls, but answers with
+    /// `Connection: close`, so that callers go to other entries.
+    pub(super) stopping: CancellationToken,
     started_at: BootTime,
     stop_phase: Mutex<StopPhase>,
-    lease: Arc<LeaseClock>,
-    /// Wakes the calls that wait for a lease.
+    lease: Arc<LeaseEnd>,
+    /// Notifies the calls that wait for a lease.
     lease_extended: Notify,
     view: Mutex<EntryView>,
 }
 
-/// When the serving lease ends, in microseconds of the boot clock.
+/// End of the serving lease, in microseconds of the boot clock. It only moves forward.
 #[derive(Debug, Default)]
-struct LeaseClock(AtomicU64);
+struct LeaseEnd(AtomicU64);
 
-impl LeaseClock {
+impl LeaseEnd {
     fn is_valid(&self, now: BootTime) -> bool {
         now.since_boot() < Duration::from_micros(self.0.load(Ordering::Acquire))
     }
@@ -165,7 +168,7 @@
     }
 }
 
-/// Work that an endpoint has before it, until the value is dropped.
+/// Work that is counted as outstanding at an endpoint until the guard is dropped.
 #[derive(Debug)]
 pub(super) struct LoadGuard {
     shared: Arc<EntryShared>,
@@ -183,18 +186,18 @@
     pub(super) fn new(
         settings: ServingEntrySettings,
         codec: Arc<dyn CallCodec>,
-        leaving: CancellationToken,
+        stopping: CancellationToken,
         log: Logger,
     ) -> Self {
-        let lease = Arc::new(LeaseClock::default());
-        let asked = Arc::clone(&lease);
+        let lease = Arc::new(LeaseEnd::default());
+        let lease_end = Arc::clone(&lease);
         let options = ClientOptions {
             connect_timeout: CONNECT_TIMEOUT,
-            user_timeout: USER_TIMEOUT,
+            user_timeout: TCP_USER_TIMEOUT,
             idle_timeout: IDLE_TIMEOUT,
-            // A process that was frozen after it had checked the lease must not run a call for a key that was
-            // withdrawn meanwhile, so the write itself asks again.
-            guard: Some(WriteGuard::new(move || asked.is_valid(boot_now()))),
+            // The process may be suspended after the check of the lease, and a key withdrawn meanwhile. The lease is
+            // therefore checked again with each write.
+            guard: Some(WriteGuard::new(move || lease_end.is_valid(boot_now()))),
             ..ClientOptions::default()
         };
         Self {
@@ -203,7 +206,7 @@
             codec,
             client: EndpointClient::new(options),
             log,
-            leaving,
+            stopping,
             started_at: boot_now(),
             stop_phase: Mutex::default(),
             lease,
@@ -216,12 +219,12 @@
         self.view.lock()
     }
 
-    /// Tells whether the entry may serve at `now`.
-    pub(super) fn may_serve(&self, now: BootTime) -> bool {
+    /// Returns true if the entry has a valid lease at `now`.
+    pub(super) fn has_lease(&self, now: BootTime) -> bool {
         self.lease.is_valid(now)
     }
 
-    /// Returns since when the entry has no lease.
+    /// Returns the period without a lease. It must be called only while the entry has none.
     pub(super) fn lease_outage(&self) -> LeaseOutage {
         let end = self.lease.end();
         if end == BootTime::default() {
@@ -231,89 +234,89 @@
         }
     }
 
-    /// Waits until the entry holds a lease, at most for `hold`.
-    pub(super) async fn await_lease(&self, hold: Duration) {
+    /// Waits until the entry has a lease, or `hold` has passed.
+    pub(super) async fn wait_for_lease(&self, hold: Duration) {
         let waiting = async {
             loop {
                 let extended = self.lease_extended.notified();
-                if self.may_serve(boot_now()) {
+                if self.has_lease(boot_now()) {
                     return;
                 }
                 extended.await;
             }
         };
-        // Whoever waited in vain finds that there is still no lease.
+        // After a timeout, the caller of this function checks the lease and refuses the call.
         let _in_vain = tokio::time::timeout(hold, waiting).await;
     }
 
-    /// Tells whether a call may be denied by the configuration that is held.
+    /// Returns true if the held configuration is recent enough to deny a call by it.
     pub(super) fn may_deny(&self, now: BootTime) -> bool {
         let view = self.view();
         view.standing
             .may_deny(now, view.held.number, self.settings.config_in_force)
     }
 
-    /// Extends the lease by a confirmation that was asked for at `asked_at`.
+    /// Extends the lease after the leader has confirmed it in answer to a request sent at `asked_at`.
     pub(super) fn confirm_lease(&self, asked_at: BootTime) {
         self.view().standing.record_confirmed(asked_at);
         self.lease
-            .extend(asked_at + self.settings.key_withdrawal.mul_f64(LEASE_PART));
+            .extend(asked_at + self.settings.key_withdrawal.mul_f64(LEASE_FRACTION));
         self.lease_extended.notify_waiters();
     }
 
-    /// Notes that the process was asked to stop.
-    pub(super) fn ask_stop(&self, now: BootTime) {
+    /// Records that the process was asked to stop.
+    pub(super) fn request_stop(&self, now: BootTime) {
         self.stop_phase.lock().request_stop(now);
     }
 
-    /// Tells whether a new call is taken, as far as the process is not about to end.
-    pub(super) fn takes_calls(&self, now: BootTime) -> bool {
+    /// Returns true unless the process is so close to its end that new calls are refused.
+    pub(super) fn accepts_calls(&self, now: BootTime) -> bool {
         self.stop_phase.lock().accepts_calls(now)
     }
 
-    /// Tells whether callers should be sent here.
+    /// Returns true if the balancer should send callers to this entry.
     pub(super) fn is_ready(&self, now: BootTime) -> bool {
         let view = self.view();
         let knows_all = view.index.is_some() && view.heard_endpoints;
-        knows_all && self.may_serve(now) && !self.leaving.is_cancelled()
+        knows_all && self.has_lease(now) && !self.stopping.is_cancelled()
     }
 
-    /// Notes a caller's request.
-    pub(super) fn note_call(&self, now: BootTime, service: &ServiceName, prompt: Option<&PromptShape>) {
-        let bound = self.bound();
+    /// Records an accepted call for the retry limit and the demand of its service.
+    pub(super) fn record_call(&self, now: BootTime, service: &ServiceName, prompt: Option<&PromptShape>) {
+        let limit = self.retry_limit();
         let mut view = self.view();
         view.budgets
             .entry(service.clone())
             .or_default()
-            .record_call(now, &bound);
+            .record_call(now, &limit);
         let demand = view.demands.entry(service.clone()).or_default();
         demand.calls += 1;
         demand.output_tokens += prompt.map_or(0, |prompt| prompt.output_tokens);
     }
 
-    /// Takes a second send from the budget of a service.
-    pub(super) fn spend_send(&self, now: BootTime, service: &ServiceName) -> bool {
-        let bound = self.bound();
+    /// Acquires one retry from the retry limit of a service. Returns false if the limit is reached.
+    pub(super) fn acquire_retry(&self, now: BootTime, service: &ServiceName) -> bool {
+        let limit = self.retry_limit();
         let mut view = self.view();
         let entries = view.entries;
         let budget = view.budgets.entry(service.clone()).or_default();
-        let granted = budget.try_acquire(now, &bound, entries);
+        let granted = budget.try_acquire(now, &limit, entries);
         if !granted {
             metrics::counter!("acacia_send_budget_exhausted_total").increment(1);
         }
         granted
     }
 
-    fn bound(&self) -> RetryLimit {
-        let bound = self.settings.send_bound;
+    fn retry_limit(&self) -> RetryLimit {
+        let limit = self.settings.send_bound;
         RetryLimit {
-            ratio: bound.ratio,
-            slack: bound.slack,
-            window: bound.window,
+            ratio: limit.ratio,
+            slack: limit.slack,
+            window: limit.window,
         }
     }
 
-    /// Counts a call that began to run.
+    /// Counts a call that has started for its customer's usage, in the window of the group clock.
     pub(super) fn count_start(&self, customer: Option<&CustomerName>) {
         let Some(customer) = customer else { return };
         let length = whole_millis(self.settings.usage_window).max(1);
@@ -325,11 +328,11 @@
         let window = WindowNumber::at(wall_millis, length);
         view.starts.count(window, customer);
         view.starts
-            .remove_before(WindowNumber(window.0.saturating_sub(KEPT_WINDOWS)));
+            .remove_before(WindowNumber(window.0.saturating_sub(REPORTED_WINDOWS)));
     }
 
-    /// Adds work to an endpoint until the guard is dropped.
-    pub(super) fn begin_work(self: &Arc<Self>, endpoint: &EndpointName, work: EndpointWork) -> LoadGuard {
+    /// Counts work as outstanding at an endpoint until the returned guard is dropped.
+    pub(super) fn add_work(self: &Arc<Self>, endpoint: &EndpointName, work: EndpointWork) -> LoadGuard {
         self.view().loads.begin(endpoint, work);
         LoadGuard {
             shared: Arc::clone(self),
@@ -338,8 +341,10 @@
         }
     }
 
-    /// Returns how many tokens the memory of a service's engines holds.
+    /// Returns the memory size of a service's engines in tokens, or 0 if the configuration has no engines for it.
     pub(super) fn engine_memory(&self, service: &ServiceName) -> u64 {
-        self.view().engine(service).map_or(0, |engine| engine.memory_tokens)
+        self.view()
+            .engine_spec(service)
+            .map_or(0, |engine| engine.memory_tokens)
     }
 }
--- a/crates/acacia-entry/src/serving/stream_body.rs
+++ b/crates/acacia-entry/src/serving/stream_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer on its way to the caller, at the caller's own speed.
+//! Response bodies that are streamed from an endpoint to the caller, with backpressure from the caller.
 
 use acacia_http::ResponseBody;
 use acacia_runtime::clock::boot_now;
@@ -11,26 +11,26 @@
 use hyper::body::{Frame, Incoming};
 
 use super::attempt::KeptConnection;
-use super::call::OpenCall;
+use super::call::AcceptedCall;
 use super::shared::LoadGuard;
-use super::stream_call::{OpenStream, StreamRun};
+use super::stream_call::{OpenStream, StreamAttempts};
 
-/// Passes a large body on as it arrives. A body that breaks off breaks the caller's connection, so that it cannot be
-/// taken for whole.
-pub(super) fn pass_through(
-    call: &OpenCall,
+/// Streams a large body as it arrives. If it breaks off, the caller's connection is broken too, so that the caller cannot
+/// take the body for complete.
+pub(super) fn stream_answer(
+    call: &AcceptedCall,
     incoming: Incoming,
     connection: KeptConnection,
     guard: LoadGuard,
 ) -> ResponseBody {
     let log = call.shared.log.clone();
     let request = call.head.request.clone();
-    let until = call.until;
+    let deadline = call.deadline;
     let frames = stream::unfold(Some((incoming, connection, guard)), move |state| {
         let (log, request) = (log.clone(), request.clone());
         async move {
             let (mut incoming, connection, guard) = state?;
-            let left = until.since(boot_now());
+            let left = deadline.since(boot_now());
             match tokio::time::timeout(left, incoming.frame()).await {
                 Ok(Some(Ok(frame))) => Some((Ok(frame), Some((incoming, connection, guard)))),
                 Ok(None) => None,
@@ -45,82 +45,82 @@
     StreamBody::new(frames).boxed_unsync()
 }
 
-/// What a stream passes through.
+/// State of an event stream to the caller.
 #[derive(Debug)]
-struct EventState {
-    run: StreamRun,
-    /// The engine that streams; nothing while another one is looked for.
+struct EventRelay {
+    attempts: StreamAttempts,
+    /// Stream of the current engine, or `None` while another engine is being chosen.
     stream: Option<OpenStream>,
-    cutter: EventSplitter,
+    splitter: EventSplitter,
     last_id: Option<u64>,
     events: usize,
 }
 
-/// Passes events on as they arrive, and lets another engine go on where one breaks off.
-pub(super) fn stream_events(run: StreamRun, stream: OpenStream) -> ResponseBody {
-    let state = EventState {
-        last_id: run.call.head.resume_after,
-        run,
+/// Streams events as they arrive. If an engine breaks off, resumes the stream at another one.
+pub(super) fn stream_events(attempts: StreamAttempts, stream: OpenStream) -> ResponseBody {
+    let state = EventRelay {
+        last_id: attempts.call.head.resume_after,
+        attempts,
         stream: Some(stream),
-        cutter: EventSplitter::default(),
+        splitter: EventSplitter::default(),
         events: 0,
     };
     let frames = stream::unfold(Some(state), |state| async move {
         let mut state = state?;
         match state.next().await {
-            Piece::Events(bytes) => Some((Ok(Frame::data(bytes)), Some(state))),
-            Piece::Last(bytes) => {
+            RelayStep::Events(bytes) => Some((Ok(Frame::data(bytes)), Some(state))),
+            RelayStep::End(bytes) => {
                 state.finish().await;
                 (!bytes.is_empty()).then(|| (Ok(Frame::data(bytes)), None))
             }
-            Piece::Broken => Some((Err(std::io::Error::other("stream broke off")), None)),
+            RelayStep::Broken => Some((Err(std::io::Error::other("stream broke off")), None)),
         }
     });
     StreamBody::new(frames).boxed_unsync()
 }
 
 #[derive(Debug)]
-enum Piece {
+enum RelayStep {
     Events(Bytes),
-    /// What is left when the answer has ended.
-    Last(Bytes),
+    /// Bytes that were left without an event terminator when the answer ended.
+    End(Bytes),
     Broken,
 }
 
-impl EventState {
-    async fn next(&mut self) -> Piece {
+impl EventRelay {
+    async fn next(&mut self) -> RelayStep {
         loop {
-            let bound = self.run.silence_bound();
+            let timeout = self.attempts.silence_timeout();
             let Some(stream) = &mut self.stream else {
-                return Piece::Broken;
+                return RelayStep::Broken;
             };
-            match tokio::time::timeout(bound, stream.incoming.frame()).await {
+            match tokio::time::timeout(timeout, stream.incoming.frame()).await {
                 Ok(Some(Ok(frame))) => {
                     let Ok(data) = frame.into_data() else { continue };
-                    let events = self.cutter.push(&data);
+                    let events = self.splitter.push(&data);
                     if events.bytes.is_empty() {
                         continue;
                     }
-                    self.note_events(events.count, events.last_id);
-                    return Piece::Events(events.bytes);
+                    self.record_events(events.count, events.last_id);
+                    return RelayStep::Events(events.bytes);
                 }
-                Ok(None) => return Piece::Last(Bytes::copy_from_slice(self.cutter.partial_event())),
+                Ok(None) => return RelayStep::End(Bytes::copy_from_slice(self.splitter.partial_event())),
                 Ok(Some(Err(error))) => {
-                    if !self.go_on(&error.to_string()).await {
-                        return Piece::Broken;
+                    if !self.resume_elsewhere(&error.to_string()).await {
+                        return RelayStep::Broken;
                     }
                 }
                 Err(_elapsed) => {
-                    if !self.go_on("silent").await {
-                        return Piece::Broken;
+                    if !self.resume_elsewhere("silent").await {
+                        return RelayStep::Broken;
                     }
                 }
             }
         }
     }
 
-    fn note_events(&mut self, count: usize, last_id: Option<u64>) {
-        let call = &self.run.call;
+    fn record_events(&mut self, count: usize, last_id: Option<u64>) {
+        let call = &self.attempts.call;
         if self.events == 0 {
             call.shared.count_start(call.customer());
             metrics::histogram!("acacia_first_event_seconds").record(boot_now().since(call.received_at).as_secs_f64());
@@ -129,28 +129,28 @@
         self.last_id = last_id.or(self.last_id);
     }
 
-    /// Lets another engine go on after the last whole event; tells whether one does.
-    async fn go_on(&mut self, reason: &str) -> bool {
-        // Closed before another engine is asked: one that is only slow would otherwise work on beside it.
+    /// Resumes the stream at another engine after the last complete event. Returns true if that succeeded.
+    async fn resume_elsewhere(&mut self, reason: &str) -> bool {
+        // Closed before another engine is asked: an engine that is merely slow would otherwise keep working on the call.
         let Some(OpenStream { endpoint, .. }) = self.stream.take() else {
             return false;
         };
-        let call = &self.run.call;
+        let call = &self.attempts.call;
         call.shared.view().loads.record_failure(boot_now(), &endpoint);
-        let may_go_on = self.run.may_go_on();
+        let can_retry = self.attempts.acquire_retry();
         slog::info!(call.shared.log, "stream broke off"; "event" => event::ATTEMPT_FAILED,
             "request" => &call.head.request, "endpoint" => endpoint.as_str(), "reason" => reason,
-            "events" => self.events, "last_id" => self.last_id, "goes_on" => may_go_on);
-        if !may_go_on {
+            "events" => self.events, "last_id" => self.last_id, "goes_on" => can_retry);
+        if !can_retry {
             return false;
         }
         let (request, log) = (call.head.request.clone(), call.shared.log.clone());
-        match self.run.open(self.last_id).await {
+        match self.attempts.open(self.last_id).await {
             Ok(stream) if stream.status.is_success() => {
                 slog::info!(log, "stream resumed"; "event" => event::STREAM_RESUMED, "request" => request,
                     "endpoint" => stream.endpoint.as_str(), "after" => self.last_id);
                 self.stream = Some(stream);
-                self.cutter = EventSplitter::default();
+                self.splitter = EventSplitter::default();
                 true
             }
             Ok(stream) => {
@@ -168,12 +168,12 @@
 
     async fn finish(self) {
         let Some(stream) = self.stream else { return };
-        let call = &self.run.call;
+        let call = &self.attempts.call;
         slog::info!(call.shared.log, "stream ended"; "event" => event::CALL_ENDED, "request" => &call.head.request,
             "endpoint" => stream.endpoint.as_str(), "events" => self.events,
             "after_ms" => whole_millis(boot_now().since(call.received_at)));
         call.shared.view().loads.record_success(&stream.endpoint);
         drop(stream.guard);
-        stream.connection.give_back(call).await;
+        stream.connection.return_to_pool(call).await;
     }
 }
--- a/crates/acacia-entry/src/serving/stream_call.rs
+++ b/crates/acacia-entry/src/serving/stream_call.rs
@@ -1,4 +1,4 @@
-//! Calls whose answer is a stream of events.
+//! Calls that are answered with an event stream.
 
 use std::time::Duration;
 
@@ -13,38 +13,40 @@
 use hyper::header::CONTENT_LENGTH;
 use hyper::{HeaderMap, Response, StatusCode};
 
-use super::attempt::{AttemptOutcome, KeptConnection, SendPatience, send};
-use super::call::{OpenCall, refuse};
-use super::choice::ChosenEndpoint;
+use super::attempt::{AttemptOutcome, AttemptTimeouts, KeptConnection, send};
+use super::call::{AcceptedCall, refuse};
 use super::codec::AttemptRole;
-use super::plain_call::assemble;
-use super::prompt_read::{ReadPrompt, read_prompt};
-use super::refusal::{CallRefusal, NO_ENDPOINT, SOON, not_run};
+use super::endpoint_choice::ChosenEndpoint;
+use super::plain_call::build_response;
+use super::prefill::{PrefilledPrompt, prefill_prompt};
+use super::refusal::{CallRefusal, NO_ENDPOINT_RETRY_DELAY, SHORT_RETRY_DELAY, not_run};
 use super::shared::LoadGuard;
 use super::stream_body::stream_events;
 
-/// Most engines that are asked in vain before a call is given up.
-const MOST_TURNED_AWAY: u32 = 3;
-/// Most engines that are not reached before a call is given up: each of them costs a connection attempt.
-const MOST_UNREACHED: u32 = 8;
-/// Which part of the time after which a caller leaves an engine may be silent before another one goes on.
-const SILENCE_PART: f64 = 0.6;
+/// Number of rejections by engines that a call tolerates before it is given up.
+const MAX_REJECTIONS: u32 = 3;
+/// Number of unreachable engines that a call tolerates before it is given up. Each of them costs a connection attempt.
+const MAX_UNREACHABLE: u32 = 8;
+/// Fraction of the route's event timeout for which an engine may be silent before the stream is resumed at another one.
+/// After the whole timeout, the caller disconnects.
+const SILENCE_FRACTION: f64 = 0.6;
 
-/// How many times the silence after which an engine is doubted it may be silent before another one goes on.
-const GIVE_UP_FACTOR: f64 = 2.0;
+/// Multiple of the suspicion timeout that an engine may take to begin its answer before the call is retried at another
+/// one.
+const FIRST_ANSWER_FACTOR: f64 = 2.0;
 
-/// A call with what its sends have come to.
+/// Call with the results of the attempts made so far.
 #[derive(Debug)]
-pub(super) struct StreamRun {
-    pub(super) call: OpenCall,
-    /// Sends after which an engine may have begun to make tokens.
-    ran: u32,
-    turned_away: u32,
-    unreached: u32,
-    reads: u32,
+pub(super) struct StreamAttempts {
+    pub(super) call: AcceptedCall,
+    /// Number of attempts after which an engine may have begun to decode.
+    possible_runs: u32,
+    rejections: u32,
+    unreachable: u32,
+    prefills: u32,
 }
 
-/// An engine that makes the tokens of a call.
+/// Answer of the engine that decodes a call, with the load that the call puts on the engine.
 #[derive(Debug)]
 pub(super) struct OpenStream {
     pub(super) endpoint: EndpointName,
@@ -55,92 +57,97 @@
     pub(super) guard: LoadGuard,
 }
 
-/// Answers a call.
-pub(super) async fn answer(call: OpenCall) -> Response<ResponseBody> {
-    let mut run = StreamRun {
+/// Answers a call with an event stream, which is resumed from the caller's last event if the caller sent one.
+pub(super) async fn answer(call: AcceptedCall) -> Response<ResponseBody> {
+    let mut attempts = StreamAttempts {
         call,
-        ran: 0,
-        turned_away: 0,
-        unreached: 0,
-        reads: 0,
+        possible_runs: 0,
+        rejections: 0,
+        unreachable: 0,
+        prefills: 0,
     };
-    let resume_after = run.call.head.resume_after;
-    match run.open(resume_after).await {
+    let resume_after = attempts.call.head.resume_after;
+    match attempts.open(resume_after).await {
         Ok(stream) => {
-            let mut headers = run.call.shared.codec.caller_headers(&stream.headers);
-            // The stream may go on at another engine, whose part has another length.
+            let mut headers = attempts.call.shared.codec.filter_answer_headers(&stream.headers);
+            // If the stream is resumed at another engine, its total length differs.
             headers.remove(CONTENT_LENGTH);
-            slog::info!(run.call.shared.log, "stream begun"; "event" => event::CALL_ENDED,
-                "request" => &run.call.head.request, "route" => &run.call.route().name,
+            slog::info!(attempts.call.shared.log, "stream begun"; "event" => event::CALL_ENDED,
+                "request" => &attempts.call.head.request, "route" => &attempts.call.route().name,
                 "endpoint" => stream.endpoint.as_str(), "status" => stream.status.as_u16(),
-                "after_ms" => whole_millis(boot_now().since(run.call.received_at)));
-            assemble(stream.status, headers, stream_events(run, stream))
+                "after_ms" => whole_millis(boot_now().since(attempts.call.received_at)));
+            build_response(stream.status, headers, stream_events(attempts, stream))
         }
-        Err(refusal) => refuse(&run.call.shared, Some(&run.call.head), refusal, run.call.received_at),
+        Err(refusal) => refuse(
+            &attempts.call.shared,
+            Some(&attempts.call.head),
+            refusal,
+            attempts.call.received_at,
+        ),
     }
 }
 
-impl StreamRun {
-    /// Tells whether another engine may go on with the call.
-    pub(super) fn may_go_on(&self) -> bool {
+impl StreamAttempts {
+    /// Returns true if the call may be sent to another engine. Takes the retry from the service's retry limit.
+    pub(super) fn acquire_retry(&self) -> bool {
         let now = boot_now();
         self.call.route().kind.may_repeat()
-            && self.ran < self.call.route().max_attempts
-            && now < self.call.until
-            && self.call.shared.spend_send(now, &self.call.service)
+            && self.possible_runs < self.call.route().max_attempts
+            && now < self.call.deadline
+            && self.call.shared.acquire_retry(now, &self.call.service)
     }
 
-    /// Returns how long an engine may be silent.
-    pub(super) fn silence_bound(&self) -> Duration {
-        let left = self.call.until.since(boot_now());
+    /// Returns the time for which the engine may send nothing.
+    pub(super) fn silence_timeout(&self) -> Duration {
+        let left = self.call.deadline.since(boot_now());
         // A stream that nobody else can continue is waited for as long as its caller may be waiting.
-        if self.call.route().kind.may_repeat() && self.ran < self.call.route().max_attempts {
-            left.min(self.call.route().event_timeout().mul_f64(SILENCE_PART))
+        if self.call.route().kind.may_repeat() && self.possible_runs < self.call.route().max_attempts {
+            left.min(self.call.route().event_timeout().mul_f64(SILENCE_FRACTION))
         } else {
             left
         }
     }
 
-    /// Returns how long an engine may be silent before it begins to answer. Another engine that is known to be usually
-    /// faster by far goes on in its place.
-    fn first_answer_bound(&self, doubt_after: Option<Duration>) -> Duration {
-        let bound = self.silence_bound();
-        let may_go_on = self.call.route().kind.may_repeat() && self.ran + 1 < self.call.route().max_attempts;
-        match doubt_after {
-            Some(doubt_after) if may_go_on => bound.min(doubt_after.mul_f64(GIVE_UP_FACTOR)),
-            _ => bound,
+    /// Returns the time that an engine may take to begin its answer. It is shorter than the silence bound if the service's
+    /// usual time to first answer is known and the call can be retried elsewhere.
+    fn first_answer_timeout(&self, suspect_after: Option<Duration>) -> Duration {
+        let timeout = self.silence_timeout();
+        let can_retry = self.call.route().kind.may_repeat() && self.possible_runs + 1 < self.call.route().max_attempts;
+        match suspect_after {
+            Some(suspect_after) if can_retry => timeout.min(suspect_after.mul_f64(FIRST_ANSWER_FACTOR)),
+            _ => timeout,
         }
     }
 
-    /// Finds an engine that makes the tokens after an event.
+    /// Opens a stream that begins after the event `resume_after`, or at the beginning. Tries several engines if necessary.
     pub(super) async fn open(&mut self, resume_after: Option<u64>) -> Result<OpenStream, CallRefusal> {
         let mut tried: Vec<EndpointName> = Vec::new();
-        let mut read: Option<ReadPrompt> = None;
+        let mut prefilled: Option<PrefilledPrompt> = None;
         loop {
-            if read.is_none() {
-                read = self.read_if_split().await?;
+            if prefilled.is_none() {
+                prefilled = self.prefill_if_separate().await?;
             }
-            let domain = read.as_ref().map(|read| &read.domain);
+            let domain = prefilled.as_ref().map(|prefilled| &prefilled.domain);
             let now = boot_now();
-            let chosen = self
-                .call
-                .shared
-                .choose_maker(now, &self.call.service, &tried, domain, self.call.draw);
+            let chosen =
+                self.call
+                    .shared
+                    .choose_decode_engine(now, &self.call.service, &tried, domain, self.call.request_hash);
             let Some(chosen) = chosen else {
-                return Err(self.give_up("no engine makes tokens", NO_ENDPOINT));
+                return Err(self.refusal("no engine makes tokens", NO_ENDPOINT_RETRY_DELAY));
             };
-            let guard = self.call.shared.begin_work(&chosen.name, self.maker_work());
-            let outcome = self.send_to(&chosen, read.as_ref(), resume_after).await;
+            let guard = self.call.shared.add_work(&chosen.name, self.decode_work());
+            let outcome = self.send_to(&chosen, prefilled.as_ref(), resume_after).await;
             match outcome {
                 AttemptOutcome::Answered(reply) => {
-                    if let Some(read) = &mut read {
-                        read.take();
+                    if let Some(prefilled) = &mut prefilled {
+                        prefilled.mark_taken();
                     }
-                    self.ran += 1;
+                    self.possible_runs += 1;
                     let (parts, incoming) = reply.response.into_parts();
-                    if parts.status.is_server_error() && self.may_go_on() {
+                    if parts.status.is_server_error() && self.acquire_retry() {
                         self.call.shared.view().loads.record_failure(boot_now(), &chosen.name);
-                        read = None;
+                        prefilled = None;
                         tried.push(chosen.name);
                         continue;
                     }
@@ -154,25 +161,26 @@
                     });
                 }
                 AttemptOutcome::NotRun { arrived: false } => {
-                    self.unreached += 1;
-                    if self.unreached > MOST_UNREACHED {
-                        return Err(self.give_up("no engine was reached", SOON));
+                    self.unreachable += 1;
+                    if self.unreachable > MAX_UNREACHABLE {
+                        return Err(self.refusal("no engine was reached", SHORT_RETRY_DELAY));
                     }
                 }
                 AttemptOutcome::NotRun { arrived: true } => {
-                    self.turned_away += 1;
-                    if self.turned_away > 1 {
-                        // One engine may be full or leaving; when a second one refuses, what was read is probably gone.
-                        read = None;
+                    self.rejections += 1;
+                    if self.rejections > 1 {
+                        // A single rejection may mean that the engine is full or stopping. After a second one, the
+                        // prefilled prompt is probably gone.
+                        prefilled = None;
                     }
-                    let may_ask = self.call.shared.spend_send(boot_now(), &self.call.service);
-                    if self.turned_away > MOST_TURNED_AWAY || !may_ask {
-                        return Err(self.give_up("turned away", SOON));
+                    let may_ask = self.call.shared.acquire_retry(boot_now(), &self.call.service);
+                    if self.rejections > MAX_REJECTIONS || !may_ask {
+                        return Err(self.refusal("turned away", SHORT_RETRY_DELAY));
                     }
                 }
                 AttemptOutcome::Lost | AttemptOutcome::TimedOut => {
-                    self.ran += 1;
-                    if !self.may_go_on() {
+                    self.possible_runs += 1;
+                    if !self.acquire_retry() {
                         let is_late = matches!(outcome, AttemptOutcome::TimedOut);
                         return Err(if is_late {
                             CallRefusal::TimedOut
@@ -180,28 +188,30 @@
                             CallRefusal::AnswerLost
                         });
                     }
-                    read = None;
+                    prefilled = None;
                 }
             }
             tried.push(chosen.name);
         }
     }
 
-    /// Has the prompt read where the service's engines share the work by stages.
-    async fn read_if_split(&mut self) -> Result<Option<ReadPrompt>, CallRefusal> {
+    /// Has the prompt prefilled if the service has separate engines for it and the prompt is long enough to gain by it.
+    async fn prefill_if_separate(&mut self) -> Result<Option<PrefilledPrompt>, CallRefusal> {
         let Some(prompt) = &self.call.head.prompt else {
             return Ok(None);
         };
-        let pace = self.call.shared.view().own_pace(&self.call.service);
-        if is_prefilled_by_decoder(prompt, pace) || !self.call.shared.has_readers(boot_now(), &self.call.service) {
+        let pace = self.call.shared.view().prefill_pace(&self.call.service);
+        if is_prefilled_by_decoder(prompt, pace)
+            || !self.call.shared.has_prefill_engines(boot_now(), &self.call.service)
+        {
             return Ok(None);
         }
-        let repeated = self.reads > 0;
-        self.reads += 1;
-        match read_prompt(&self.call, prompt, repeated).await {
-            Ok(read) => Ok(Some(read)),
-            // Once an engine may have run the call, "not run" is no longer true.
-            Err(CallRefusal::NotRun { .. }) if self.ran > 0 => Err(CallRefusal::AnswerLost),
+        let is_retry = self.prefills > 0;
+        self.prefills += 1;
+        match prefill_prompt(&self.call, prompt, is_retry).await {
+            Ok(prefilled) => Ok(Some(prefilled)),
+            // An earlier attempt may have run the call, so `NotRun` would be false.
+            Err(CallRefusal::NotRun { .. }) if self.possible_runs > 0 => Err(CallRefusal::AnswerLost),
             Err(refusal) => Err(refusal),
         }
     }
@@ -209,28 +219,28 @@
     async fn send_to(
         &self,
         chosen: &ChosenEndpoint,
-        read: Option<&ReadPrompt>,
+        prefilled: Option<&PrefilledPrompt>,
         resume_after: Option<u64>,
     ) -> AttemptOutcome {
-        let role = read.map_or(AttemptRole::Whole, |read| AttemptRole::MakeTokens {
-            reader: read.address,
-            handle: &read.handle,
+        let role = prefilled.map_or(AttemptRole::Whole, |prefilled| AttemptRole::MakeTokens {
+            reader: prefilled.address,
+            handle: &prefilled.handle,
         });
-        let doubt_after = self.call.shared.view().doubt_after(&self.call.service);
-        let patience = SendPatience {
-            doubt_after,
-            bound: self.first_answer_bound(doubt_after),
+        let suspect_after = self.call.shared.view().suspicion_timeout(&self.call.service);
+        let timeouts = AttemptTimeouts {
+            suspect_after,
+            give_up_after: self.first_answer_timeout(suspect_after),
         };
         let sent_at = boot_now();
-        let outcome = send(&self.call, chosen, role, resume_after, patience).await;
+        let outcome = send(&self.call, chosen, role, resume_after, timeouts).await;
         if matches!(outcome, AttemptOutcome::Answered(_)) {
             let took = boot_now().since(sent_at);
-            self.call.shared.view().note_first_answer(&self.call.service, took);
+            self.call.shared.view().record_first_answer(&self.call.service, took);
         }
         outcome
     }
 
-    fn maker_work(&self) -> EndpointWork {
+    fn decode_work(&self) -> EndpointWork {
         let prompt = self.call.head.prompt.as_ref();
         EndpointWork {
             unread_tokens: 0,
@@ -239,8 +249,8 @@
         }
     }
 
-    const fn give_up(&self, reason: &'static str, retry_after: Duration) -> CallRefusal {
-        if self.ran == 0 {
+    const fn refusal(&self, reason: &'static str, retry_after: Duration) -> CallRefusal {
+        if self.possible_runs == 0 {
             not_run(reason, retry_after)
         } else {
             CallRefusal::AnswerLost
