--- a/crates/acaciabay/src/ops/place_call.rs
+++ b/crates/acaciabay/src/ops/place_call.rs
@@ -33,50 +33,51 @@
 
 /// Range of the random term added to an engine's load, as a fraction of its slots. Entries learn of each other's
 /// streams with a delay, and without this term all of them would meanwhile choose the engine with the fewest streams.
-const STREAM_SPREAD: f64 = 0.1;
+const STREAM_JITTER: f64 = 0.1;
 
 /// Chooses the engine that decodes a stream.
 ///
-/// `reader_domain` is the failure domain in which another engine has prefilled the prompt, if any. `draw` is a random
-/// number that spreads calls over engines with nearly equal load.
+/// `prefill_domain` is the failure domain in which another engine has prefilled the prompt, if any. `seed` is a random
+/// number that spreads calls over engines with nearly equal load. `memory_tokens` is the size of an engine's memory in
+/// tokens.
 pub fn place_stream(
     view: &PlacementView<'_>,
     candidates: &[Candidate<'_>],
     memory_tokens: u64,
-    reader_domain: Option<&DomainName>,
-    draw: u64,
+    prefill_domain: Option<&DomainName>,
+    seed: u64,
 ) -> Option<EndpointName> {
-    let wanted = reader_domain.unwrap_or(view.domain);
+    let preferred_domain = prefill_domain.unwrap_or(view.domain);
     let scored = candidates.iter().map(|candidate| {
         let (name, endpoint) = *candidate;
         let work = view.loads.work(name);
-        let slots = work.calls as f64 / f64::from(endpoint.slots.max(1));
-        let memory = work.held_tokens as f64 / memory_tokens.max(1) as f64;
-        let spread = STREAM_SPREAD * drawn(draw, name) as f64 / u64::MAX as f64;
+        let slot_use = work.calls as f64 / f64::from(endpoint.slots.max(1));
+        let memory_use = work.held_tokens as f64 / memory_tokens.max(1) as f64;
+        let jitter = STREAM_JITTER * seeded_hash(seed, name) as f64 / u64::MAX as f64;
         (
-            slots.max(memory) + spread + SLOT_PENALTY.of(view, *candidate, wanted),
+            slot_use.max(memory_use) + jitter + SLOT_PENALTY.of(view, *candidate, preferred_domain),
             name,
         )
     });
-    let best = scored.min_by(|one, other| one.0.total_cmp(&other.0));
+    let best = scored.min_by(|a, b| a.0.total_cmp(&b.0));
     best.map(|(_, name)| name.clone())
 }
 
-/// Returns a pseudorandom number for one call and one endpoint.
-fn drawn(draw: u64, name: &EndpointName) -> u64 {
-    rendezvous::combine_hashes(draw, rendezvous::hash(name.as_str().as_bytes()))
+/// Returns a hash of the endpoint's name and the call's random seed, so that each call ranks endpoints differently.
+fn seeded_hash(seed: u64, name: &EndpointName) -> u64 {
+    rendezvous::combine_hashes(seed, rendezvous::hash(name.as_str().as_bytes()))
 }
 
-/// Chooses the endpoint for a plain call. `draw` is a random number that spreads calls over endpoints with equal load.
-pub fn place_plain(view: &PlacementView<'_>, candidates: &[Candidate<'_>], draw: u64) -> Option<EndpointName> {
+/// Chooses the endpoint for a plain call. `seed` is a random number that spreads calls over endpoints with equal load.
+pub fn place_plain(view: &PlacementView<'_>, candidates: &[Candidate<'_>], seed: u64) -> Option<EndpointName> {
     let scored = candidates.iter().map(|candidate| {
         let (name, endpoint) = *candidate;
         let work = view.loads.work(name);
         let used = work.calls as f64 / f64::from(endpoint.slots.max(1));
-        let spread = drawn(draw, name);
-        (used + SLOT_PENALTY.of(view, *candidate, view.domain), spread, name)
+        let tie_break = seeded_hash(seed, name);
+        (used + SLOT_PENALTY.of(view, *candidate, view.domain), tie_break, name)
     });
-    let best = scored.min_by(|one, other| one.0.total_cmp(&other.0).then(one.1.cmp(&other.1)));
+    let best = scored.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
     best.map(|(_, _, name)| name.clone())
 }
 
@@ -90,10 +91,15 @@
 }
 
 impl EndpointPenalty {
-    /// Returns the total penalty of an endpoint if `wanted` is the preferred failure domain.
-    pub(super) fn of(self, view: &PlacementView<'_>, (name, endpoint): Candidate<'_>, wanted: &DomainName) -> f64 {
-        let is_far = endpoint.domain != *wanted;
+    /// Returns the total penalty of an endpoint, including that for a domain other than `preferred_domain`.
+    pub(super) fn of(
+        self,
+        view: &PlacementView<'_>,
+        (name, endpoint): Candidate<'_>,
+        preferred_domain: &DomainName,
+    ) -> f64 {
+        let is_remote = endpoint.domain != *preferred_domain;
         let is_suspected = view.loads.is_suspected(view.now, name);
-        f64::from(u8::from(is_far)) * self.other_domain + f64::from(u8::from(is_suspected)) * self.suspect
+        f64::from(u8::from(is_remote)) * self.other_domain + f64::from(u8::from(is_suspected)) * self.suspect
     }
 }
