--- a/crates/acacia-entry/src/serving/prompt_read.rs
+++ b/crates/acacia-entry/src/serving/prompt_read.rs
@@ -11,7 +11,7 @@
 use acaciabay::core::serving::endpoint_load::EndpointWork;
 use acaciabay::core::serving::prompt::PromptShape;
 use acaciabay::core::serving::reading_pace::PrefillTime;
-use acaciabay::ops::place_prompt::{PromptPlacement, is_source_lost};
+use acaciabay::ops::place_prompt::{PromptPlacement, is_copy_source_gone};
 use acaciabay::util::number::whole_millis;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -203,7 +203,7 @@
     };
     view.note_reading(&call.service, &chosen.name, reading);
     if let Some(source) = copy_from
-        && is_source_lost(&source.endpoint, place.wait, took)
+        && is_copy_source_gone(&source.endpoint, place.wait, took)
     {
         slog::info!(call.shared.log, "copy source is gone"; "event" => event::ATTEMPT_FAILED,
             "request" => &call.head.request, "endpoint" => source.name.as_str(), "took_ms" => whole_millis(took));
--- a/crates/acaciabay/src/ops/place_prompt.rs
+++ b/crates/acaciabay/src/ops/place_prompt.rs
@@ -29,18 +29,19 @@
 /// Cost of a home other than the first in the choice of a prefill engine, in milliseconds of its queue. A part can be
 /// copied only once an engine has prefilled it. If the first prompts with a part were scattered, several engines would
 /// prefill it before any could copy it.
-const OTHER_HOME_MS: f64 = 800.0;
+const SECONDARY_HOME_COST_MS: f64 = 800.0;
 
 /// Cost of an engine that is no home of the part, in milliseconds. It is about the time that callers wait, so that such
 /// an engine is used only when all homes are overloaded.
-const NO_HOME_MS: f64 = 3_000.0;
+const NON_HOME_COST_MS: f64 = 3_000.0;
 
 /// Cost of an engine that must copy a part known to be cached elsewhere, in milliseconds, when every prefill engine is
 /// busy. Each copy evicts other parts, which busy engines then have to prefill again. The cost is scaled by the
 /// fraction of prefill engines that are busy.
-const CACHED_ELSEWHERE_MS: f64 = 800.0;
+const CACHED_ELSEWHERE_COST_MS: f64 = 800.0;
 
-/// Minimum of the busy fraction by which [`CACHED_ELSEWHERE_MS`] is scaled, also if hardly any prefill engine is busy.
+/// Minimum of the busy fraction by which [`CACHED_ELSEWHERE_COST_MS`] is scaled, also if hardly any prefill engine is
+/// busy.
 const MIN_BUSY_FRACTION: f64 = 0.1;
 
 /// Range of the hash-based term that separates engines of equal cost, in milliseconds. Without it, entries that do not
@@ -48,7 +49,7 @@
 const TIE_BREAK_MS: f64 = 10.0;
 
 /// Fixed time of a copy beside the transfer itself, in milliseconds. The value is in the middle of current engines.
-const COPY_SETUP_MS: f64 = 4.0;
+const COPY_OVERHEAD_MS: f64 = 4.0;
 
 /// Ratio of the transfer time from another failure domain to that within a domain, as the users' protocol specifies.
 const CROSS_DOMAIN_COPY_FACTOR: f64 = 2.0;
@@ -89,15 +90,15 @@
 
 /// Time beyond the estimate after which the source of a copy counts as gone. An engine that waits in vain for a copy
 /// loses a few hundred milliseconds and then prefills the part itself.
-const LOST_SOURCE_TIMEOUT: Duration = Duration::from_millis(150);
+const COPY_SOURCE_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Returns `true` if the source of a copy is probably gone, judged by the time that the prompt took.
+/// Returns `true` if the source of a copy is probably gone, judged by the time that prefilling the prompt took.
 ///
 /// A leaving engine serves copies until it is gone, and its last report stays valid for seconds after that. Meanwhile
 /// every prompt that is to copy from it would wait in vain. A source that is not leaving is never taken for gone here,
 /// since the prefill engine itself may have been slow.
-pub fn is_source_lost(source: &ServingEndpoint, expected: Duration, took: Duration) -> bool {
-    source.phase != EndpointPhase::Ready && took > expected + LOST_SOURCE_TIMEOUT
+pub fn is_copy_source_gone(source: &ServingEndpoint, expected: Duration, elapsed: Duration) -> bool {
+    source.phase != EndpointPhase::Ready && elapsed > expected + COPY_SOURCE_TIMEOUT
 }
 
 /// Chooses the engine that prefills a prompt.
@@ -112,12 +113,12 @@
         busy_fraction(view, engines.prefill_engines),
     );
     let sources = LikelySources::of(view, engines, prompt);
-    let scored = engines.prefill_engines.iter().map(|reader| {
-        let source = sources.other_than(reader.0);
-        let estimate = ReadEstimate::of(view, engines, prompt, *reader, source, &homes);
-        (estimate, *reader, source)
+    let scored = engines.prefill_engines.iter().map(|prefill_engine| {
+        let source = sources.most_likely_except(prefill_engine.0);
+        let estimate = PrefillEstimate::of(view, engines, prompt, *prefill_engine, source, &homes);
+        (estimate, *prefill_engine, source)
     });
-    let best = scored.min_by(|one, other| one.0.cost_ms.total_cmp(&other.0.cost_ms));
+    let best = scored.min_by(|a, b| a.0.cost_ms.total_cmp(&b.0.cost_ms));
     let (estimate, (name, _), source) = best?;
     Some(PromptPlacement {
         endpoint: name.clone(),
@@ -133,8 +134,8 @@
     let busy = prefill_engines
         .iter()
         .filter(|(name, _)| view.loads.work(name).unread_tokens > 0);
-    let part = busy.count() as f64 / prefill_engines.len().max(1) as f64;
-    part.max(MIN_BUSY_FRACTION)
+    let fraction = busy.count() as f64 / prefill_engines.len().max(1) as f64;
+    fraction.max(MIN_BUSY_FRACTION)
 }
 
 /// The home engines of a shared part in the order of their hashes, on which all entries agree.
@@ -160,7 +161,7 @@
             .iter()
             .map(|(name, _)| (hash_rank(&key, name), *name))
             .collect();
-        ranked.sort_unstable_by(|one, other| other.cmp(one));
+        ranked.sort_unstable_by(|a, b| b.cmp(a));
         ranked.truncate(HOMES_PER_PART);
         Self {
             key,
@@ -178,13 +179,14 @@
     fn penalty_ms(&self, name: &EndpointName) -> f64 {
         match self.ranked.iter().position(|home| *home == name) {
             Some(0) => 0.0,
-            Some(_) => OTHER_HOME_MS,
+            Some(_) => SECONDARY_HOME_COST_MS,
             None if self.ranked.is_empty() => 0.0,
-            None => NO_HOME_MS,
+            None => NON_HOME_COST_MS,
         }
     }
 }
 
+/// Returns the rank of an engine for a part. Engines with higher ranks come first.
 fn hash_rank(key: &[u8], name: &EndpointName) -> u64 {
     rendezvous::score(key, name.as_str().as_bytes())
 }
@@ -220,7 +222,7 @@
                 )
             })
             .collect();
-        ranked.sort_unstable_by_key(|(kept, rank, _)| std::cmp::Reverse((*kept, *rank)));
+        ranked.sort_unstable_by_key(|(cached, rank, _)| std::cmp::Reverse((*cached, *rank)));
         let mut best = ranked.into_iter().map(|(_, _, source)| source);
         Self {
             first: best.next(),
@@ -228,70 +230,70 @@
         }
     }
 
-    /// Returns the more probable engine other than `reader`.
-    fn other_than(&self, reader: &EndpointName) -> Option<Candidate<'table>> {
-        self.first.filter(|(name, _)| *name != reader).or(self.second)
+    /// Returns the more probable engine other than `prefill_engine`.
+    fn most_likely_except(&self, prefill_engine: &EndpointName) -> Option<Candidate<'table>> {
+        self.first.filter(|(name, _)| *name != prefill_engine).or(self.second)
     }
 }
 
 /// Estimated prefill work and time of a prompt at one engine, and the cost by which engines are compared.
 #[derive(Clone, Copy, Debug)]
-struct ReadEstimate {
+struct PrefillEstimate {
     unread_tokens: f64,
     wait_ms: f64,
     cost_ms: f64,
 }
 
-impl ReadEstimate {
+impl PrefillEstimate {
     fn of(
         view: &PlacementView<'_>,
         engines: &PromptEngines<'_>,
         prompt: &PromptShape,
-        reader: Candidate<'_>,
+        prefill_engine: Candidate<'_>,
         source: Option<Candidate<'_>>,
         homes: &PartHomes<'_>,
     ) -> Self {
-        let (name, endpoint) = reader;
-        let kept = view.loads.cached_prefix_tokens(name, &prompt.parts) as f64;
+        let (name, endpoint) = prefill_engine;
+        let cached = view.loads.cached_prefix_tokens(name, &prompt.parts) as f64;
         let shared: u64 = prompt.shared_parts().iter().map(|part| part.tokens).sum();
-        let missing = (shared as f64 - kept).max(0.0);
-        let source_kept = source.map_or(0, |(source, _)| {
+        let missing = (shared as f64 - cached).max(0.0);
+        let source_cached = source.map_or(0, |(source, _)| {
             view.loads.cached_prefix_tokens(source, prompt.shared_parts())
         });
-        let copied = (source_kept as f64 - kept).max(0.0);
+        let copied = (source_cached as f64 - cached).max(0.0);
         let expected_copied = CACHE_HIT_PROBABILITY * copied;
         let copy_ms = match (engines.link, source) {
-            (Some(link), Some((_, source))) if copied > 0.0 => copy_ms(link, copied, endpoint, source),
+            (Some(link), Some((_, source))) if copied > 0.0 => copy_time_ms(link, copied, endpoint, source),
             _ => 0.0,
         };
         let locality_ms = if missing <= 0.0 {
             0.0
         } else if copied >= missing {
-            CACHED_ELSEWHERE_MS * homes.busy_fraction
+            CACHED_ELSEWHERE_COST_MS * homes.busy_fraction
         } else {
             homes.penalty_ms(name)
         };
-        let unread_tokens = (prompt.prompt_tokens as f64 - kept - expected_copied).max(0.0);
+        let unread_tokens = (prompt.prompt_tokens as f64 - cached - expected_copied).max(0.0);
         let queued = view.loads.work(name).unread_tokens as f64;
         let pace = view.loads.pace(name, engines.pace);
-        let read_ms = (queued + NEW_TOKEN_WEIGHT * unread_tokens) * pace;
+        let weighted_prefill_ms = (queued + NEW_TOKEN_WEIGHT * unread_tokens) * pace;
         Self {
             unread_tokens,
             wait_ms: (queued + unread_tokens) * pace + copy_ms,
-            cost_ms: read_ms
+            cost_ms: weighted_prefill_ms
                 + copy_ms
                 + locality_ms
                 + homes.tie_break_ms(name)
-                + PREFILL_PENALTY.of(view, reader, view.domain),
+                + PREFILL_PENALTY.of(view, prefill_engine, view.domain),
         }
     }
 }
 
-fn copy_ms(link: &MemoryLink, tokens: f64, reader: &ServingEndpoint, source: &ServingEndpoint) -> f64 {
-    let factor = if reader.domain == source.domain {
+fn copy_time_ms(link: &MemoryLink, tokens: f64, destination: &ServingEndpoint, source: &ServingEndpoint) -> f64 {
+    let factor = if destination.domain == source.domain {
         1.0
     } else {
         CROSS_DOMAIN_COPY_FACTOR
     };
-    COPY_SETUP_MS + factor * link.copy_ms(tokens)
+    COPY_OVERHEAD_MS + factor * link.copy_ms(tokens)
 }
--- a/crates/acaciabay/tests/serving/reading.rs
+++ b/crates/acaciabay/tests/serving/reading.rs
@@ -8,7 +8,7 @@
 use acaciabay::core::serving::endpoint_registry::{EndpointPhase, EngineStage, ServingEndpoint};
 use acaciabay::core::serving::prompt::PromptShape;
 use acaciabay::ops::place_call::PlacementView;
-use acaciabay::ops::place_prompt::{PromptEngines, PromptPlacement, is_source_lost, place_prompt};
+use acaciabay::ops::place_prompt::{PromptEngines, PromptPlacement, is_copy_source_gone, place_prompt};
 use acaciabay::ops::split_call::is_prefilled_by_decoder;
 
 use crate::fixtures::{EngineRows, at, candidates, link, name, numbered, prompt, rows, unread};
@@ -269,14 +269,14 @@
     };
     let (expected, in_vain) = (Duration::from_millis(40), Duration::from_millis(305));
 
-    assert!(is_source_lost(&leaving, expected, in_vain));
+    assert!(is_copy_source_gone(&leaving, expected, in_vain));
     loads.record_unreachable(at(0), &home);
     let place = place_with(&loads, &readers, &all, true, 5);
 
     assert_ne!(place.copy_from, Some(home));
-    assert!(!is_source_lost(&leaving, expected, Duration::from_millis(60)));
+    assert!(!is_copy_source_gone(&leaving, expected, Duration::from_millis(60)));
     let staying = numbered(1, "a", EngineStage::Prefill);
-    assert!(!is_source_lost(&staying, expected, in_vain));
+    assert!(!is_copy_source_gone(&staying, expected, in_vain));
 }
 
 /// The engine that has a part cached has just failed. A prompt would wait in vain for a copy from it.
