--- a/crates/acacia-control/src/serving/codec.rs
+++ b/crates/acacia-control/src/serving/codec.rs
@@ -5,7 +5,7 @@
 use acaciabay::core::name::{DomainName, EndpointName, ServiceName};
 use acaciabay::core::serving::config::{ConfigFinding, ServingConfig};
 use acaciabay::core::serving::duty::FenceNumber;
-use acaciabay::core::serving::endpoint_registry::{EndpointBirth, EngineStage, ServingEndpoint};
+use acaciabay::core::serving::endpoint_registry::{EndpointIncarnation, EngineStage, ServingEndpoint};
 use acaciabay::core::serving::start_counts::{CustomerCounts, WindowNumber};
 use bytes::Bytes;
 use hyper::http::request::Parts;
@@ -32,7 +32,7 @@
         /// The endpoint.
         name: EndpointName,
         /// Which start of it, if it says so.
-        birth: Option<EndpointBirth>,
+        birth: Option<EndpointIncarnation>,
     },
     /// A report that cannot be used; it concerns no endpoint.
     BadReport(String),
--- a/crates/acacia-control/src/serving/control_http.rs
+++ b/crates/acacia-control/src/serving/control_http.rs
@@ -8,7 +8,7 @@
 use acaciabay::core::control_state::{CommandOutcome, ControlCommand};
 use acaciabay::core::name::EndpointName;
 use acaciabay::core::serving::config::ConfigNumber;
-use acaciabay::core::serving::endpoint_registry::{EndpointBirth, EndpointPhase, ServingEndpoint};
+use acaciabay::core::serving::endpoint_registry::{EndpointIncarnation, EndpointPhase, ServingEndpoint};
 use acaciabay::core::serving::serving_state::{ServingCommand, ServingOutcome};
 use bytes::Bytes;
 use hyper::body::Incoming;
@@ -54,7 +54,7 @@
     ControlAnswer::Done
 }
 
-fn take_leave(hub: &ServingHub, name: &EndpointName, birth: Option<EndpointBirth>) -> ControlAnswer {
+fn take_leave(hub: &ServingHub, name: &EndpointName, birth: Option<EndpointIncarnation>) -> ControlAnswer {
     if is_cut_off(hub) {
         return CUT_OFF;
     }
--- a/crates/acacia-control/src/serving/engine_orders.rs
+++ b/crates/acacia-control/src/serving/engine_orders.rs
@@ -11,7 +11,7 @@
 use acacia_wire::stage_to_wire;
 use acaciabay::core::clock::BootTime;
 use acaciabay::core::name::EndpointName;
-use acaciabay::core::serving::endpoint_registry::{EndpointBirth, EngineStage, ServingEndpoint};
+use acaciabay::core::serving::endpoint_registry::{EndpointIncarnation, EngineStage, ServingEndpoint};
 use acaciabay::ops::plan_stages::StageChange;
 use acaciabay::util::number::whole_millis;
 use hyper::StatusCode;
@@ -31,7 +31,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct OpenOrder {
-    birth: EndpointBirth,
+    birth: EndpointIncarnation,
     stage: EngineStage,
     /// Until then the engine carries it out and takes no calls.
     rests_until: BootTime,
@@ -68,7 +68,7 @@
         mut endpoint: ServingEndpoint,
     ) -> (EndpointName, ServingEndpoint) {
         if let Some(order) = self.open.lock().get(&name)
-            && order.birth == endpoint.birth
+            && order.birth == endpoint.incarnation
         {
             endpoint.stage = Some(order.stage);
         }
@@ -102,7 +102,7 @@
             return;
         }
         let order = OpenOrder {
-            birth: endpoint.birth,
+            birth: endpoint.incarnation,
             stage: change.stage,
             rests_until: turn.now + switch + STEP_TIME,
             until: turn.now + DOUBT_TIME,
--- a/crates/acacia-control/src/serving/hub.rs
+++ b/crates/acacia-control/src/serving/hub.rs
@@ -16,7 +16,9 @@
 use acaciabay::core::serving::config::{ConfigNumber, ServingConfig};
 use acaciabay::core::serving::config_transfer::ConfigDocument;
 use acaciabay::core::serving::endpoint_load::EndpointWork;
-use acaciabay::core::serving::endpoint_registry::{EndpointBirth, EndpointRegistry, ReportEffect, ServingEndpoint};
+use acaciabay::core::serving::endpoint_registry::{
+    EndpointIncarnation, EndpointRegistry, ReportEffect, ServingEndpoint,
+};
 use acaciabay::core::serving::kept_parts::KeptLog;
 use acaciabay::core::serving::shared_suspicion::shared_suspicions;
 use acaciabay::core::serving::start_counts::GatheredRow;
@@ -170,7 +172,7 @@
 
     /// Takes what an endpoint has said to this process, and passes it on.
     pub(super) fn take_report(&self, name: &EndpointName, endpoint: ServingEndpoint) -> ReportEffect {
-        let effect = self.soft().registry.report(boot_now(), name, endpoint);
+        let effect = self.soft().registry.apply_report(boot_now(), name, endpoint);
         self.pass_on(name, effect);
         effect
     }
@@ -181,15 +183,15 @@
     }
 
     /// Notes that an endpoint has told this process that it leaves, and passes that on.
-    pub(super) fn take_leave(&self, name: &EndpointName, birth: Option<EndpointBirth>) -> ReportEffect {
-        let effect = self.soft().registry.leave(name, birth);
+    pub(super) fn take_leave(&self, name: &EndpointName, birth: Option<EndpointIncarnation>) -> ReportEffect {
+        let effect = self.soft().registry.mark_gone(name, birth);
         self.pass_on(name, effect);
         effect
     }
 
     /// Takes what an endpoint has said to another replica.
     pub(super) fn hear_report(&self, name: &EndpointName, endpoint: ServingEndpoint) {
-        self.soft().registry.hear(boot_now(), name, endpoint);
+        self.soft().registry.apply_relayed_report(boot_now(), name, endpoint);
     }
 
     fn pass_on(&self, name: &EndpointName, effect: ReportEffect) {
@@ -198,13 +200,13 @@
             return;
         };
         match effect {
-            ReportEffect::Old => return,
-            ReportEffect::Heard => {}
+            ReportEffect::Ignored => return,
+            ReportEffect::Unchanged => {}
             ReportEffect::Changed => {
                 slog::info!(self.log, "endpoint changed"; "event" => event::ENDPOINT_CHANGED,
                     "endpoint" => name.as_str(), "service" => endpoint.service.as_str(),
                     "phase" => ?endpoint.phase, "stage" => ?endpoint.stage, "address" => %endpoint.address,
-                    "birth" => endpoint.birth.0, "sequence" => endpoint.sequence);
+                    "birth" => endpoint.incarnation.0, "sequence" => endpoint.sequence);
             }
         }
         let rows = vec![endpoint_to_wire(name, endpoint)];
--- a/crates/acacia-control/src/serving/start.rs
+++ b/crates/acacia-control/src/serving/start.rs
@@ -208,7 +208,7 @@
     loop {
         tokio::select! {
             () = stop.cancelled() => return,
-            () = tokio::time::sleep(TIDY_INTERVAL) => hub.soft().registry.forget_silent(boot_now()),
+            () = tokio::time::sleep(TIDY_INTERVAL) => hub.soft().registry.remove_expired(boot_now()),
         }
     }
 }
--- a/crates/acacia-entry/src/serving/endpoint_news.rs
+++ b/crates/acacia-entry/src/serving/endpoint_news.rs
@@ -9,7 +9,7 @@
 use acaciabay::core::clock::BootTime;
 use acaciabay::core::name::EndpointName;
 use acaciabay::core::serving::endpoint_load::StageSwitch;
-use acaciabay::core::serving::endpoint_registry::{EndpointBirth, ReportEffect};
+use acaciabay::core::serving::endpoint_registry::{EndpointIncarnation, ReportEffect};
 
 use super::shared::EntryShared;
 
@@ -28,7 +28,7 @@
             }
         };
         let phase = endpoint.phase;
-        if view.registry.hear(now, &name, endpoint) == ReportEffect::Changed {
+        if view.registry.apply_relayed_report(now, &name, endpoint) == ReportEffect::Changed {
             slog::info!(shared.log, "endpoint changed"; "event" => event::ENDPOINT_CHANGED,
                 "endpoint" => name.as_str(), "phase" => ?phase, "sequence" => row.sequence, "birth" => row.birth);
         }
@@ -47,7 +47,7 @@
 
 fn resting_from_wire(now: BootTime, engine: &RestingEngine) -> Option<(EndpointName, StageSwitch)> {
     let order = StageSwitch {
-        birth: EndpointBirth(engine.birth),
+        birth: EndpointIncarnation(engine.birth),
         stage: stage_from_wire(engine.stage())?,
         until: now + Duration::from_millis(engine.left_ms),
     };
--- a/crates/acacia-entry/src/serving/shared.rs
+++ b/crates/acacia-entry/src/serving/shared.rs
@@ -90,7 +90,7 @@
         let Self {
             registry, kept_news, ..
         } = self;
-        registry.forget_silent(now);
+        registry.remove_expired(now);
         kept_news.retain(|engine| registry.get(engine).is_some());
     }
 
--- a/crates/acacia-wire/src/serving_message.rs
+++ b/crates/acacia-wire/src/serving_message.rs
@@ -5,7 +5,7 @@
 use acaciabay::core::serving::config_transfer::ConfigUpdate;
 use acaciabay::core::serving::duty::{DutyTable, FenceNumber};
 use acaciabay::core::serving::endpoint_load::EndpointWork;
-use acaciabay::core::serving::endpoint_registry::{EndpointBirth, EndpointPhase, EngineStage, ServingEndpoint};
+use acaciabay::core::serving::endpoint_registry::{EndpointIncarnation, EndpointPhase, EngineStage, ServingEndpoint};
 use acaciabay::core::serving::kept_parts::KeptPart;
 use acaciabay::core::serving::prompt::{PartId, PromptPart};
 use acaciabay::core::serving::serving_state::ServingState;
@@ -69,7 +69,7 @@
         phase: phase.into(),
         stage: stage.into(),
         reclaimable: endpoint.reclaimable,
-        birth: endpoint.birth.0,
+        birth: endpoint.incarnation.0,
         sequence: endpoint.sequence,
     }
 }
@@ -96,7 +96,7 @@
         phase,
         stage,
         reclaimable: message.reclaimable,
-        birth: EndpointBirth(message.birth),
+        incarnation: EndpointIncarnation(message.birth),
         sequence: message.sequence,
     };
     Ok((message.name.as_str().into(), endpoint))
--- a/crates/acaciabay/src/core/serving/endpoint_load.rs
+++ b/crates/acaciabay/src/core/serving/endpoint_load.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use super::endpoint_registry::{EndpointBirth, EngineStage, ServingEndpoint};
+use super::endpoint_registry::{EndpointIncarnation, EngineStage, ServingEndpoint};
 use super::part_memory::PromptCacheEstimate;
 use super::prompt::PromptPart;
 use super::reading_pace::PrefillTime;
@@ -60,7 +60,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StageSwitch {
     /// The incarnation of the engine that received the order.
-    pub birth: EndpointBirth,
+    pub birth: EndpointIncarnation,
     /// The stage that the engine reports once the change is complete.
     pub stage: EngineStage,
     /// Time after which the change counts as complete even without a report.
@@ -228,7 +228,7 @@
     pub fn is_switching_stage(&self, now: BootTime, name: &EndpointName, endpoint: &ServingEndpoint) -> bool {
         let stage_switch = self.rows.get(name).and_then(|row| row.stage_switch);
         stage_switch.is_some_and(|order| {
-            order.birth == endpoint.birth && now < order.until && endpoint.stage != Some(order.stage)
+            order.birth == endpoint.incarnation && now < order.until && endpoint.stage != Some(order.stage)
         })
     }
 
--- a/crates/acaciabay/src/core/serving/endpoint_registry.rs
+++ b/crates/acaciabay/src/core/serving/endpoint_registry.rs
@@ -11,10 +11,10 @@
 use crate::core::clock::BootTime;
 use crate::core::name::{DomainName, EndpointName, ServiceName};
 
-/// Start time of an endpoint, in milliseconds since the Unix epoch by its own clock. It identifies the incarnation: a
-/// later start is another one.
+/// Incarnation of an endpoint, identified by its start time in milliseconds since the Unix epoch by its own clock. Each
+/// restart is a new incarnation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct EndpointBirth(pub u64);
+pub struct EndpointIncarnation(pub u64);
 
 /// Lifecycle phase of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -53,8 +53,8 @@
     pub stage: Option<EngineStage>,
     /// Set if the platform may reclaim it at short notice.
     pub reclaimable: bool,
-    /// Its start time, which identifies the incarnation.
-    pub birth: EndpointBirth,
+    /// Its incarnation.
+    pub incarnation: EndpointIncarnation,
     /// The sequence number of its report within the incarnation.
     pub sequence: u64,
 }
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug)]
 struct RegistryRow {
     endpoint: ServingEndpoint,
-    heard_at: BootTime,
+    reported_at: BootTime,
 }
 
 /// All endpoints that have been reported, by name.
@@ -75,40 +75,40 @@
 ///
 /// Endpoints report about once a second, and three missed reports are unlikely to be chance. Silence alone does not
 /// prove that an endpoint is gone: the path of its reports may be cut while the endpoint itself is reachable.
-pub const SILENCE_LIMIT: Duration = Duration::from_secs(4);
+pub const REPORT_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Time for which a row is kept after its last report: as long as a delayed report of an endpoint that has left may
 /// still arrive.
-const ROW_LIFETIME: Duration = Duration::from_secs(60);
+const ROW_RETENTION: Duration = Duration::from_secs(60);
 
 impl EndpointRegistry {
     /// Applies a report and returns its effect. A report that differs only in its sequence number is no change.
-    pub fn report(&mut self, now: BootTime, name: &EndpointName, endpoint: ServingEndpoint) -> ReportEffect {
+    pub fn apply_report(&mut self, now: BootTime, name: &EndpointName, endpoint: ServingEndpoint) -> ReportEffect {
         let Some(row) = self.rows.get_mut(name) else {
             let row = RegistryRow {
                 endpoint,
-                heard_at: now,
+                reported_at: now,
             };
             self.rows.insert(name.clone(), row);
             return ReportEffect::Changed;
         };
-        let held = &row.endpoint;
-        if (endpoint.birth, endpoint.sequence) <= (held.birth, held.sequence) {
-            return ReportEffect::Old;
+        let stored = &row.endpoint;
+        if (endpoint.incarnation, endpoint.sequence) <= (stored.incarnation, stored.sequence) {
+            return ReportEffect::Ignored;
         }
         let mut endpoint = endpoint;
-        if endpoint.birth == held.birth {
+        if endpoint.incarnation == stored.incarnation {
             // An endpoint that has announced its departure does not return within the same incarnation.
-            endpoint.phase = endpoint.phase.max(held.phase);
+            endpoint.phase = endpoint.phase.max(stored.phase);
         }
         let is_same = ServingEndpoint {
             sequence: endpoint.sequence,
-            ..held.clone()
+            ..stored.clone()
         } == endpoint;
         row.endpoint = endpoint;
-        row.heard_at = now;
+        row.reported_at = now;
         if is_same {
-            ReportEffect::Heard
+            ReportEffect::Unchanged
         } else {
             ReportEffect::Changed
         }
@@ -116,29 +116,34 @@
 
     /// Applies a report that another process has relayed. A departure is applied even if its sequence number is stale,
     /// since a departure has no number of its own; it does not affect a later incarnation.
-    pub fn hear(&mut self, now: BootTime, name: &EndpointName, endpoint: ServingEndpoint) -> ReportEffect {
-        let (phase, birth) = (endpoint.phase, endpoint.birth);
-        match self.report(now, name, endpoint) {
-            ReportEffect::Old if phase == EndpointPhase::Gone => self.leave(name, Some(birth)),
+    pub fn apply_relayed_report(
+        &mut self,
+        now: BootTime,
+        name: &EndpointName,
+        endpoint: ServingEndpoint,
+    ) -> ReportEffect {
+        let (phase, incarnation) = (endpoint.phase, endpoint.incarnation);
+        match self.apply_report(now, name, endpoint) {
+            ReportEffect::Ignored if phase == EndpointPhase::Gone => self.mark_gone(name, Some(incarnation)),
             effect => effect,
         }
     }
 
-    /// Marks an endpoint as gone. A `birth` below the stored one belongs to an earlier incarnation and is ignored; one
-    /// above it belongs to an incarnation whose reports have not arrived here, and is stored.
-    pub fn leave(&mut self, name: &EndpointName, birth: Option<EndpointBirth>) -> ReportEffect {
+    /// Marks an endpoint as gone. An `incarnation` before the stored one is ignored; one after it belongs to a restart
+    /// whose reports have not arrived here, and is stored.
+    pub fn mark_gone(&mut self, name: &EndpointName, incarnation: Option<EndpointIncarnation>) -> ReportEffect {
         match self.rows.get_mut(name) {
-            Some(row) if birth.is_none_or(|birth| birth >= row.endpoint.birth) => {
+            Some(row) if incarnation.is_none_or(|incarnation| incarnation >= row.endpoint.incarnation) => {
                 let changed = row.endpoint.phase != EndpointPhase::Gone;
                 row.endpoint.phase = EndpointPhase::Gone;
-                row.endpoint.birth = birth.unwrap_or(row.endpoint.birth);
+                row.endpoint.incarnation = incarnation.unwrap_or(row.endpoint.incarnation);
                 if changed {
                     ReportEffect::Changed
                 } else {
-                    ReportEffect::Heard
+                    ReportEffect::Unchanged
                 }
             }
-            Some(_) | None => ReportEffect::Old,
+            Some(_) | None => ReportEffect::Ignored,
         }
     }
 
@@ -160,7 +165,7 @@
         now: BootTime,
         service: &'registry ServiceName,
     ) -> Vec<(&'registry EndpointName, &'registry ServingEndpoint)> {
-        self.heard(now, service, |phase| phase == EndpointPhase::Ready)
+        self.select(now, service, |phase| phase == EndpointPhase::Ready)
     }
 
     /// Returns the endpoints of a service that still answer, including those that are draining.
@@ -169,45 +174,47 @@
         now: BootTime,
         service: &'registry ServiceName,
     ) -> Vec<(&'registry EndpointName, &'registry ServingEndpoint)> {
-        self.heard(now, service, |phase| phase != EndpointPhase::Gone)
+        self.select(now, service, |phase| phase != EndpointPhase::Gone)
     }
 
-    fn heard<'registry>(
+    /// Returns the endpoints of a service in a wanted phase, except for silent ones and those whose address a later
+    /// incarnation has.
+    fn select<'registry>(
         &'registry self,
         now: BootTime,
         service: &'registry ServiceName,
         is_wanted: impl Fn(EndpointPhase) -> bool,
     ) -> Vec<(&'registry EndpointName, &'registry ServingEndpoint)> {
-        let youngest = self.youngest_by_address();
+        let latest = self.latest_incarnations();
         let wanted: Vec<_> = self
             .rows
             .iter()
             .filter(|(_, row)| row.endpoint.service == *service && is_wanted(row.endpoint.phase))
-            .filter(|(_, row)| youngest.get(&row.endpoint.address) == Some(&row.endpoint.birth))
+            .filter(|(_, row)| latest.get(&row.endpoint.address) == Some(&row.endpoint.incarnation))
             .collect();
-        let heard = |row: &RegistryRow| now.since(row.heard_at) < SILENCE_LIMIT;
-        let any_heard = wanted.iter().any(|(_, row)| heard(row));
+        let is_reporting = |row: &RegistryRow| now.since(row.reported_at) < REPORT_TIMEOUT;
+        let any_reporting = wanted.iter().any(|(_, row)| is_reporting(row));
         wanted
             .into_iter()
             // If all are silent, the path of the reports is probably cut, which says nothing about the endpoints.
-            .filter(|(_, row)| !any_heard || heard(row))
+            .filter(|(_, row)| !any_reporting || is_reporting(row))
             .map(|(name, row)| (name, &row.endpoint))
             .collect()
     }
 
     /// Removes the rows of endpoints that have not reported for a minute.
-    pub fn forget_silent(&mut self, now: BootTime) {
-        self.rows.retain(|_, row| now.since(row.heard_at) < ROW_LIFETIME);
+    pub fn remove_expired(&mut self, now: BootTime) {
+        self.rows.retain(|_, row| now.since(row.reported_at) < ROW_RETENTION);
     }
 
     /// Returns the start time of the latest incarnation at each address.
-    fn youngest_by_address(&self) -> HashMap<SocketAddr, EndpointBirth> {
-        let mut youngest = HashMap::with_capacity(self.rows.len());
+    fn latest_incarnations(&self) -> HashMap<SocketAddr, EndpointIncarnation> {
+        let mut latest = HashMap::with_capacity(self.rows.len());
         for RegistryRow { endpoint, .. } in self.rows.values() {
-            let birth = youngest.entry(endpoint.address).or_insert(endpoint.birth);
-            *birth = endpoint.birth.max(*birth);
+            let incarnation = latest.entry(endpoint.address).or_insert(endpoint.incarnation);
+            *incarnation = endpoint.incarnation.max(*incarnation);
         }
-        youngest
+        latest
     }
 }
 
@@ -217,7 +224,7 @@
     /// The stored state has changed.
     Changed,
     /// The report was current but the endpoint's state is unchanged.
-    Heard,
+    Unchanged,
     /// The report was ignored: it is older than the stored state, or announces the departure of an unknown endpoint.
-    Old,
+    Ignored,
 }
--- a/crates/acaciabay/tests/serving/fixtures.rs
+++ b/crates/acaciabay/tests/serving/fixtures.rs
@@ -11,7 +11,7 @@
     ServiceSpec, ServingConfig,
 };
 use acaciabay::core::serving::endpoint_load::EndpointWork;
-use acaciabay::core::serving::endpoint_registry::{EndpointBirth, EndpointPhase, EngineStage, ServingEndpoint};
+use acaciabay::core::serving::endpoint_registry::{EndpointIncarnation, EndpointPhase, EngineStage, ServingEndpoint};
 use acaciabay::core::serving::prompt::{PartId, PromptPart, PromptShape};
 use acaciabay::util::digest::ContentDigest;
 use proptest::test_runner::{Config, RngSeed};
@@ -37,7 +37,7 @@
         phase: EndpointPhase::Ready,
         stage: Some(EngineStage::Prefill),
         reclaimable: false,
-        birth: EndpointBirth(1_000),
+        incarnation: EndpointIncarnation(1_000),
         sequence: 1,
     }
 }
--- a/crates/acaciabay/tests/serving/placement.rs
+++ b/crates/acaciabay/tests/serving/placement.rs
@@ -4,7 +4,7 @@
 
 use acaciabay::core::name::{DomainName, EndpointName};
 use acaciabay::core::serving::endpoint_load::{EndpointWork, LoadTable, StageSwitch};
-use acaciabay::core::serving::endpoint_registry::{EndpointBirth, EngineStage, ServingEndpoint};
+use acaciabay::core::serving::endpoint_registry::{EndpointIncarnation, EngineStage, ServingEndpoint};
 use acaciabay::ops::place_call::{PlacementView, place_plain, place_stream};
 use acaciabay::util::rendezvous;
 use proptest::prelude::*;
@@ -73,7 +73,7 @@
     let making = numbered(1, "a", EngineStage::Decode);
     let reading = numbered(1, "a", EngineStage::Prefill);
     let order = StageSwitch {
-        birth: making.birth,
+        birth: making.incarnation,
         stage: EngineStage::Prefill,
         until: at(11_000),
     };
@@ -84,7 +84,7 @@
     assert!(!loads.is_switching_stage(at(5_000), &name("e"), &reading));
     assert!(!loads.is_switching_stage(at(11_000), &name("e"), &making));
     let restarted = ServingEndpoint {
-        birth: EndpointBirth(2_000),
+        incarnation: EndpointIncarnation(2_000),
         ..making
     };
     assert!(!loads.is_switching_stage(at(5_000), &name("e"), &restarted));
