--- a/crates/acacia-control/src/serving/codec.rs
+++ b/crates/acacia-control/src/serving/codec.rs
@@ -5,7 +5,7 @@
 use acaciabay::core::name::{DomainName, EndpointName, ServiceName};
 use acaciabay::core::serving::config::{ConfigFinding, ServingConfig};
 use acaciabay::core::serving::duty::FenceNumber;
-use acaciabay::core::serving::endpoint_registry::{EndpointBirth, EngineStage, ServingEndpoint};
+use acaciabay::core::serving::endpoint_registry::{EndpointIncarnation, EngineStage, ServingEndpoint};
 use acaciabay::core::serving::start_counts::{CustomerCounts, WindowNumber};
 use bytes::Bytes;
 use hyper::http::request::Parts;
@@ -32,7 +32,7 @@
         /// The name of the endpoint.
         name: EndpointName,
         /// The incarnation that leaves, if the call names one.
-        birth: Option<EndpointBirth>,
+        birth: Option<EndpointIncarnation>,
     },
     /// A report or a deregistration that cannot be parsed, with the reason. It changes no endpoint.
     BadReport(String),
--- a/crates/acacia-control/src/serving/hub.rs
+++ b/crates/acacia-control/src/serving/hub.rs
@@ -16,7 +16,9 @@
 use acaciabay::core::serving::config::{ConfigNumber, ServingConfig};
 use acaciabay::core::serving::config_transfer::ConfigDocument;
 use acaciabay::core::serving::endpoint_load::EndpointWork;
-use acaciabay::core::serving::endpoint_registry::{EndpointBirth, EndpointRegistry, ReportEffect, ServingEndpoint};
+use acaciabay::core::serving::endpoint_registry::{
+    EndpointIncarnation, EndpointRegistry, ReportEffect, ServingEndpoint,
+};
 use acaciabay::core::serving::kept_parts::KeptLog;
 use acaciabay::core::serving::shared_suspicion::shared_suspicions;
 use acaciabay::core::serving::start_counts::GatheredRow;
@@ -170,7 +172,7 @@
 
     /// Records a report that an endpoint sent to this process, and broadcasts it to all sessions unless it is stale.
     pub(super) fn record_report(&self, name: &EndpointName, endpoint: ServingEndpoint) -> ReportEffect {
-        let effect = self.soft_state().registry.report(boot_now(), name, endpoint);
+        let effect = self.soft_state().registry.apply_report(boot_now(), name, endpoint);
         self.broadcast_endpoint(name, effect);
         effect
     }
@@ -181,15 +183,17 @@
     }
 
     /// Records that an endpoint has deregistered at this process, and broadcasts it to all sessions unless it is stale.
-    pub(super) fn record_leave(&self, name: &EndpointName, birth: Option<EndpointBirth>) -> ReportEffect {
-        let effect = self.soft_state().registry.leave(name, birth);
+    pub(super) fn record_leave(&self, name: &EndpointName, birth: Option<EndpointIncarnation>) -> ReportEffect {
+        let effect = self.soft_state().registry.mark_gone(name, birth);
         self.broadcast_endpoint(name, effect);
         effect
     }
 
     /// Records a report that an endpoint sent to another replica. That replica broadcasts it.
     pub(super) fn record_relayed_report(&self, name: &EndpointName, endpoint: ServingEndpoint) {
-        self.soft_state().registry.hear(boot_now(), name, endpoint);
+        self.soft_state()
+            .registry
+            .apply_relayed_report(boot_now(), name, endpoint);
     }
 
     fn broadcast_endpoint(&self, name: &EndpointName, effect: ReportEffect) {
@@ -198,13 +202,13 @@
             return;
         };
         match effect {
-            ReportEffect::Old => return,
-            ReportEffect::Heard => {}
+            ReportEffect::Ignored => return,
+            ReportEffect::Unchanged => {}
             ReportEffect::Changed => {
                 slog::info!(self.log, "endpoint changed"; "event" => event::ENDPOINT_CHANGED,
                     "endpoint" => name.as_str(), "service" => endpoint.service.as_str(),
                     "phase" => ?endpoint.phase, "stage" => ?endpoint.stage, "address" => %endpoint.address,
-                    "birth" => endpoint.birth.0, "sequence" => endpoint.sequence);
+                    "birth" => endpoint.incarnation.0, "sequence" => endpoint.sequence);
             }
         }
         let rows = vec![endpoint_to_wire(name, endpoint)];
--- a/crates/acacia-control/src/serving/start.rs
+++ b/crates/acacia-control/src/serving/start.rs
@@ -210,7 +210,7 @@
     loop {
         tokio::select! {
             () = stop.cancelled() => return,
-            () = tokio::time::sleep(CLEANUP_INTERVAL) => hub.soft_state().registry.forget_silent(boot_now()),
+            () = tokio::time::sleep(CLEANUP_INTERVAL) => hub.soft_state().registry.remove_expired(boot_now()),
         }
     }
 }
