--- a/crates/acaciabay/tests/serving/reading.rs
+++ b/crates/acaciabay/tests/serving/prefill_placement.rs
@@ -19,14 +19,14 @@
 }
 
 /// Places a prompt with the shared part `shared` among engines that can copy cached parts from each other.
-fn place_copying(loads: &LoadTable, readers: &EngineRows, shared: u64) -> PromptPlacement {
-    place_with(loads, readers, readers, true, shared)
+fn place_copying(loads: &LoadTable, prefill_engines: &EngineRows, shared: u64) -> PromptPlacement {
+    place_with(loads, prefill_engines, prefill_engines, true, shared)
 }
 
 fn place_with(
     loads: &LoadTable,
-    readers: &EngineRows,
-    keepers: &[(EndpointName, ServingEndpoint)],
+    prefill_engines: &EngineRows,
+    sources: &[(EndpointName, ServingEndpoint)],
     copies: bool,
     shared: u64,
 ) -> PromptPlacement {
@@ -38,8 +38,8 @@
     };
     let link = link();
     let engines = PromptEngines {
-        prefill_engines: &candidates(readers),
-        sources: &candidates(keepers),
+        prefill_engines: &candidates(prefill_engines),
+        sources: &candidates(sources),
         pace: None,
         link: copies.then_some(&link),
     };
@@ -49,7 +49,7 @@
 /// Several entries get requests with the same long shared part. If their choices differed, as many engines would
 /// prefill the part as there are entries.
 #[test]
-fn entries_agree_on_the_first_reader_of_a_part() {
+fn entries_agree_on_the_engine_that_prefills_a_part_first() {
     let rows = rows(7, EngineStage::Prefill);
 
     let first = place(&LoadTable::default(), &rows, 5);
@@ -62,7 +62,7 @@
 /// A burst of requests has one shared part. If requests moved to another engine as soon as the queue of the first grew
 /// a little, each engine would prefill the part again, and every queue would grow by it.
 #[test]
-fn a_queue_is_borne_before_a_part_is_read_again() {
+fn prompt_waits_in_a_queue_before_its_part_is_prefilled_again() {
     let rows = rows(7, EngineStage::Prefill);
     let mut loads = LoadTable::default();
     let home = place(&loads, &rows, 5);
@@ -78,7 +78,7 @@
 /// An engine fails every call. If prompts were still sent there because it has their parts cached, one call after
 /// another would fail.
 #[test]
-fn an_engine_that_fails_is_left_out_while_there_are_others() {
+fn failing_engine_is_avoided_while_others_exist() {
     let rows = rows(3, EngineStage::Prefill);
     let mut loads = LoadTable::default();
     let home = place(&loads, &rows, 5);
@@ -95,14 +95,14 @@
 /// Many requests have the same long part, and its home has a second of queued work. Another engine copies the part in
 /// tens of milliseconds and begins at once; prefilling it again there would take a third of a second.
 #[test]
-fn a_part_is_copied_where_its_home_is_overloaded() {
-    let readers = rows(7, EngineStage::Prefill);
+fn part_is_copied_when_its_home_is_overloaded() {
+    let prefill_engines = rows(7, EngineStage::Prefill);
     let mut loads = LoadTable::default();
-    let home = place_copying(&loads, &readers, 5).endpoint;
+    let home = place_copying(&loads, &prefill_engines, 5).endpoint;
     loads.record_prefill(&home, prompt(5, 99).shared_parts(), 400_000);
 
     loads.begin(&home, unread(60_000));
-    let other = place_copying(&loads, &readers, 5);
+    let other = place_copying(&loads, &prefill_engines, 5);
 
     assert_ne!(other.endpoint, home);
     assert_eq!(other.copy_from, Some(home));
@@ -114,27 +114,27 @@
 /// The home of a part has a short queue. If prompts spread to more engines than needed, several of them would prefill
 /// the part before any could copy it.
 #[test]
-fn a_part_stays_at_its_home_while_the_queue_is_short() {
-    let readers = rows(7, EngineStage::Prefill);
+fn prompt_stays_at_the_home_of_its_part_while_the_queue_is_short() {
+    let prefill_engines = rows(7, EngineStage::Prefill);
     let mut loads = LoadTable::default();
-    let home = place_copying(&loads, &readers, 5).endpoint;
+    let home = place_copying(&loads, &prefill_engines, 5).endpoint;
 
     loads.begin(&home, unread(30_000));
 
-    assert_eq!(place_copying(&loads, &readers, 5).endpoint, home);
+    assert_eq!(place_copying(&loads, &prefill_engines, 5).endpoint, home);
 }
 
 /// A part is cached at its home, which has a third of a second of queued work, and other engines are idle. A long
 /// prompt that waited there would be late, while a copy takes hundredths of a second.
 #[test]
-fn a_kept_part_is_copied_rather_than_waited_for() {
-    let readers = rows(7, EngineStage::Prefill);
+fn cached_part_is_copied_when_other_engines_are_idle() {
+    let prefill_engines = rows(7, EngineStage::Prefill);
     let mut loads = LoadTable::default();
-    let home = place_copying(&loads, &readers, 5).endpoint;
+    let home = place_copying(&loads, &prefill_engines, 5).endpoint;
     loads.record_prefill(&home, prompt(5, 99).shared_parts(), 400_000);
 
     loads.begin(&home, unread(17_000));
-    let other = place_copying(&loads, &readers, 5);
+    let other = place_copying(&loads, &prefill_engines, 5);
 
     assert_ne!(other.endpoint, home);
     assert_eq!(other.copy_from, Some(home));
@@ -143,26 +143,26 @@
 /// Every engine has work and a full cache. A part that is copied to one evicts another, which must be prefilled again
 /// in the middle of the burst. A prompt therefore waits longer for the engine that has its part cached.
 #[test]
-fn a_kept_part_is_waited_for_where_all_engines_have_work() {
-    let readers = rows(7, EngineStage::Prefill);
+fn prompt_waits_for_its_cached_part_when_all_engines_are_busy() {
+    let prefill_engines = rows(7, EngineStage::Prefill);
     let mut loads = LoadTable::default();
-    let home = place_copying(&loads, &readers, 5).endpoint;
+    let home = place_copying(&loads, &prefill_engines, 5).endpoint;
     loads.record_prefill(&home, prompt(5, 99).shared_parts(), 400_000);
-    for (name, _) in &readers {
+    for (name, _) in &prefill_engines {
         loads.begin(name, unread(1_000));
     }
 
     loads.begin(&home, unread(17_000));
 
-    assert_eq!(place_copying(&loads, &readers, 5).endpoint, home);
+    assert_eq!(place_copying(&loads, &prefill_engines, 5).endpoint, home);
 }
 
 /// With two hundred entries and as many engines, an entry rarely uses the same engine twice. If it assumed the global
 /// default pace for engines that it has not measured, it would take a queue of one second for half a second and send
 /// short prompts behind it.
 #[test]
-fn an_engine_that_was_not_measured_is_taken_for_a_usual_one() {
-    let readers = rows(3, EngineStage::Prefill);
+fn unmeasured_engine_is_assumed_to_have_the_pace_of_its_service() {
+    let prefill_engines = rows(3, EngineStage::Prefill);
     let (loads, domain, link) = (LoadTable::default(), DomainName::new("a"), link());
     let view = PlacementView {
         now: at(0),
@@ -171,8 +171,8 @@
     };
     let expected = |pace| {
         let engines = PromptEngines {
-            prefill_engines: &candidates(&readers),
-            sources: &candidates(&readers),
+            prefill_engines: &candidates(&prefill_engines),
+            sources: &candidates(&prefill_engines),
             pace,
             link: Some(&link),
         };
@@ -188,10 +188,10 @@
 /// No engine has prefilled the part of a long prompt yet. If the part were assumed to be cached, the prompt would count
 /// as a few tokens, and short prompts would be queued behind it for a second.
 #[test]
-fn a_part_that_nobody_has_read_counts_in_full() {
-    let readers = rows(7, EngineStage::Prefill);
+fn uncached_part_counts_in_full() {
+    let prefill_engines = rows(7, EngineStage::Prefill);
 
-    let place = place_copying(&LoadTable::default(), &readers, 5);
+    let place = place_copying(&LoadTable::default(), &prefill_engines, 5);
 
     assert_eq!(place.unread_tokens, prompt(5, 99).prompt_tokens);
 }
@@ -199,8 +199,8 @@
 /// Entries whose view of each other's work is out of date find the same engines idle, for prompts without shared parts.
 /// If they took the first of the list, all of them would send to one engine at once.
 #[test]
-fn prompts_without_a_home_go_to_different_engines() {
-    let readers = rows(7, EngineStage::Prefill);
+fn prompts_without_shared_parts_go_to_different_engines() {
+    let prefill_engines = rows(7, EngineStage::Prefill);
     let (loads, domain) = (LoadTable::default(), DomainName::new("elsewhere"));
     let view = PlacementView {
         now: at(0),
@@ -208,8 +208,8 @@
         loads: &loads,
     };
     let engines = PromptEngines {
-        prefill_engines: &candidates(&readers),
-        sources: &candidates(&readers),
+        prefill_engines: &candidates(&prefill_engines),
+        sources: &candidates(&prefill_engines),
         pace: None,
         link: None,
     };
@@ -230,64 +230,64 @@
 /// A new engine becomes the home of some parts by hash and has none of them cached. It copies each from the previous
 /// home instead of prefilling thousands of tokens again.
 #[test]
-fn an_engine_that_has_joined_copies_from_the_home_before_it() {
+fn new_engine_copies_from_the_previous_home() {
     let all = rows(7, EngineStage::Prefill);
     let home = place_copying(&LoadTable::default(), &all, 5).endpoint;
     let before: EngineRows = all.iter().filter(|(name, _)| *name != home).cloned().collect();
-    let home_before = place_copying(&LoadTable::default(), &before, 5).endpoint;
+    let previous_home = place_copying(&LoadTable::default(), &before, 5).endpoint;
 
     let place = place_copying(&LoadTable::default(), &all, 5);
 
-    assert_eq!((place.endpoint, place.copy_from), (home, Some(home_before)));
+    assert_eq!((place.endpoint, place.copy_from), (home, Some(previous_home)));
 }
 
 /// An engine that is about to be reclaimed takes no new calls but still answers other engines for a while. Its cached
 /// parts are copied before it is gone.
 #[test]
-fn parts_are_copied_from_an_engine_that_leaves() {
+fn parts_are_copied_from_a_draining_engine() {
     let all = rows(7, EngineStage::Prefill);
-    let leaving = place_copying(&LoadTable::default(), &all, 5).endpoint;
-    let readers: EngineRows = all.iter().filter(|(name, _)| *name != leaving).cloned().collect();
+    let draining = place_copying(&LoadTable::default(), &all, 5).endpoint;
+    let prefill_engines: EngineRows = all.iter().filter(|(name, _)| *name != draining).cloned().collect();
 
-    let place = place_with(&LoadTable::default(), &readers, &all, true, 5);
+    let place = place_with(&LoadTable::default(), &prefill_engines, &all, true, 5);
 
-    assert_eq!(place.copy_from, Some(leaving));
+    assert_eq!(place.copy_from, Some(draining));
 }
 
 /// A failure domain was reclaimed seconds ago. Its engines are gone, but their last reports still count, and every
 /// prompt with a part that they had cached waits 300 ms for a copy that never arrives. One such wait must be enough for
 /// the entry to stop copying from the engine.
 #[test]
-fn an_engine_that_left_is_not_copied_from_once_a_copy_was_waited_for_in_vain() {
+fn engine_is_not_a_copy_source_after_a_copy_has_failed() {
     let all = rows(7, EngineStage::Prefill);
     let mut loads = LoadTable::default();
     let home = place_copying(&loads, &all, 5).endpoint;
-    let readers: EngineRows = all.iter().filter(|(name, _)| *name != home).cloned().collect();
+    let prefill_engines: EngineRows = all.iter().filter(|(name, _)| *name != home).cloned().collect();
     let leaving = ServingEndpoint {
         phase: EndpointPhase::Draining,
         ..numbered(1, "a", EngineStage::Prefill)
     };
-    let (expected, in_vain) = (Duration::from_millis(40), Duration::from_millis(305));
+    let (expected, elapsed) = (Duration::from_millis(40), Duration::from_millis(305));
 
-    assert!(is_source_lost(&leaving, expected, in_vain));
+    assert!(is_source_lost(&leaving, expected, elapsed));
     loads.record_unreachable(at(0), &home);
-    let place = place_with(&loads, &readers, &all, true, 5);
+    let place = place_with(&loads, &prefill_engines, &all, true, 5);
 
     assert_ne!(place.copy_from, Some(home));
     assert!(!is_source_lost(&leaving, expected, Duration::from_millis(60)));
     let staying = numbered(1, "a", EngineStage::Prefill);
-    assert!(!is_source_lost(&staying, expected, in_vain));
+    assert!(!is_source_lost(&staying, expected, elapsed));
 }
 
 /// The engine that has a part cached has just failed. A prompt would wait in vain for a copy from it.
 #[test]
-fn nothing_is_copied_from_an_engine_that_has_failed() {
-    let readers = rows(7, EngineStage::Prefill);
+fn failed_engine_is_not_a_copy_source() {
+    let prefill_engines = rows(7, EngineStage::Prefill);
     let mut loads = LoadTable::default();
-    let home = place_copying(&loads, &readers, 5).endpoint;
+    let home = place_copying(&loads, &prefill_engines, 5).endpoint;
 
     loads.record_failure(at(0), &home);
-    let place = place_copying(&loads, &readers, 5);
+    let place = place_copying(&loads, &prefill_engines, 5);
 
     assert_ne!(place.endpoint, home);
     assert_ne!(place.copy_from, Some(home));
@@ -296,7 +296,7 @@
 /// Short prompts arrive in the same burst as long ones. If they were sent to a prefill engine, they would wait behind
 /// the long ones, for a second where their own prefill takes one millisecond.
 #[test]
-fn a_short_prompt_is_read_where_its_answer_is_made() {
+fn short_prompt_is_prefilled_by_the_decode_engine() {
     let shape = |tokens| PromptShape {
         prompt_tokens: tokens,
         ..prompt(5, 99)
@@ -310,8 +310,8 @@
 
 /// A prompt without shared parts has nothing to copy, and any engine will do.
 #[test]
-fn a_prompt_of_its_own_is_copied_from_nowhere() {
-    let readers: EngineRows = vec![(name("e"), numbered(1, "a", EngineStage::Prefill))];
+fn prompt_without_shared_parts_has_no_copy_source() {
+    let prefill_engines: EngineRows = vec![(name("e"), numbered(1, "a", EngineStage::Prefill))];
     let mut shape = prompt(5, 99);
     shape.parts.remove(0);
     let domain = DomainName::new("a");
@@ -323,8 +323,8 @@
     };
     let link = link();
     let engines = PromptEngines {
-        prefill_engines: &candidates(&readers),
-        sources: &candidates(&readers),
+        prefill_engines: &candidates(&prefill_engines),
+        sources: &candidates(&prefill_engines),
         pace: None,
         link: Some(&link),
     };
--- a/crates/acaciabay/tests/serving/silence.rs
+++ b/crates/acaciabay/tests/serving/suspicion.rs
@@ -18,7 +18,7 @@
 /// Guards against every entry losing a call to a dead engine before it avoids the engine: with two hundred entries,
 /// that is two hundred calls.
 #[test]
-fn an_engine_that_two_domains_find_silent_is_left_out_by_all() {
+fn engine_that_two_domains_find_silent_is_avoided_by_all() {
     let domains = domains(&["a", "b"]);
     let suspicions = [(domains[0].clone(), name("e")), (domains[1].clone(), name("e"))];
 
@@ -36,7 +36,7 @@
 /// When the network between two failure domains is cut, entries of one find all engines of the other silent although
 /// the engines are healthy. The other entries must not avoid them.
 #[test]
-fn what_one_domain_finds_silent_is_its_own_affair() {
+fn suspicion_of_one_domain_is_not_shared() {
     let domains = domains(&["a"]);
     let suspicions = [(domains[0].clone(), name("e")), (domains[0].clone(), name("e"))];
 
@@ -46,25 +46,25 @@
 /// The suspicion timeout follows the usual time to first answer. An engine that is silent for three seconds where
 /// answers usually begin within 50 ms must be suspected early, since its call is stuck until then.
 #[test]
-fn silence_is_measured_by_what_is_usual() {
-    let mut pace = AnswerLatency::default();
-    assert_eq!(pace.suspicion_timeout(), None);
+fn suspicion_timeout_follows_the_usual_latency() {
+    let mut latency = AnswerLatency::default();
+    assert_eq!(latency.suspicion_timeout(), None);
 
     for _ in 0..200 {
-        pace.record(Duration::from_millis(50));
+        latency.record(Duration::from_millis(50));
     }
-    assert_eq!(pace.suspicion_timeout(), Some(Duration::from_millis(400)));
+    assert_eq!(latency.suspicion_timeout(), Some(Duration::from_millis(400)));
 
     // Under load all engines are slow, which must not make them suspect.
     for _ in 0..200 {
-        pace.record(Duration::from_millis(900));
+        latency.record(Duration::from_millis(900));
     }
-    assert!(pace.suspicion_timeout() > Some(Duration::from_millis(1_800)));
+    assert!(latency.suspicion_timeout() > Some(Duration::from_millis(1_800)));
 }
 
 /// A suspected engine that answers after all is used again at once, so that its capacity is not lost.
 #[test]
-fn an_answer_ends_the_doubt() {
+fn answer_ends_the_suspicion() {
     let mut loads = LoadTable::default();
     loads.record_silence(at(0), &name("e"));
     assert_eq!(loads.silent_endpoints(at(500)).count(), 1);
