--- a/crates/acaciabay/src/core/serving/mod.rs
+++ b/crates/acaciabay/src/core/serving/mod.rs
@@ -6,7 +6,7 @@
 //! * [`config_transfer`] sends configurations over a connection as deltas, and [`pending_renewals`] tracks the lease
 //!   renewals that an entry has requested.
 //! * [`endpoint_registry`] orders the reports of endpoints, which may arrive late, repeatedly and by several paths.
-//! * [`prompt`] describes the parts of a prompt, and [`part_memory`] tracks which endpoint has read which part.
+//! * [`prompt`] describes the parts of a prompt, and [`prompt_cache`] estimates which parts an endpoint has cached.
 //! * [`kept_parts`] shares among all entries which engines keep which parts.
 //! * [`endpoint_load`] tracks the outstanding work of every endpoint.
 //! * [`answer_pace`] computes after which silence an engine is suspected of having failed, and [`shared_suspicion`]
@@ -39,9 +39,9 @@
 pub mod issued_order;
 pub mod kept_parts;
 pub mod lease_recovery;
-pub mod part_memory;
 pub mod pending_renewals;
 pub mod prompt;
+pub mod prompt_cache;
 pub mod reading_need;
 pub mod reading_pace;
 pub mod replica_tracker;
--- a/crates/acaciabay/src/core/serving/part_memory.rs
+++ b/crates/acaciabay/src/core/serving/prompt_cache.rs
@@ -1,4 +1,6 @@
-//! Which parts of prompts an endpoint keeps in its memory, as far as an entry can tell from its own sends.
+//! Estimate of the prompt parts that an endpoint has cached.
+//!
+//! An entry updates it when it sends a prompt to the endpoint, and from the announcements of other entries.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -23,8 +25,8 @@
     /// Returns the length of the cached prefix of a prompt in tokens: the parts before the first one that is not
     /// cached.
     pub fn cached_prefix_tokens(&self, parts: &[PromptPart]) -> u64 {
-        let kept = parts.iter().take_while(|part| self.parts.contains_key(&part.id));
-        kept.map(|part| part.tokens).sum()
+        let cached = parts.iter().take_while(|part| self.parts.contains_key(&part.id));
+        cached.map(|part| part.tokens).sum()
     }
 
     /// Records that the endpoint has prefilled these parts. Evicts the least recently used ones until the rest fits
--- a/crates/acaciabay/tests/serving/main.rs
+++ b/crates/acaciabay/tests/serving/main.rs
@@ -18,7 +18,7 @@
 mod placement;
 mod pools;
 mod prefill_placement;
-mod prompts;
+mod prompt_cache;
 mod replica_tracker;
 mod retry_limiter;
 mod stages;
