--- a/crates/acaciabay/tests/serving/keeping.rs
+++ b/crates/acaciabay/tests/serving/cached_parts.rs
@@ -28,7 +28,7 @@
 /// All entries have the same popular part prefilled by the same engine. If each of them announced it again, the
 /// announcements would saturate the links to all entries.
 #[test]
-fn what_was_told_once_is_not_told_again() {
+fn announcements_are_not_repeated() {
     let mut log = KeptLog::default();
     log.push(kept("e1", 5));
     log.push(kept("e1", 5));
@@ -36,19 +36,19 @@
 
     assert_eq!(read_all(&log), vec![kept("e1", 5), kept("e2", 5)]);
 
-    let mut news = CachedPartOutbox::default();
-    news.record_announced(&kept("e1", 5));
-    news.record_prefill(&name("e1"), &[part(5, 100), part(6, 100)]);
-    news.record_prefill(&name("e1"), &[part(6, 100)]);
+    let mut outbox = CachedPartOutbox::default();
+    outbox.record_announced(&kept("e1", 5));
+    outbox.record_prefill(&name("e1"), &[part(5, 100), part(6, 100)]);
+    outbox.record_prefill(&name("e1"), &[part(6, 100)]);
 
-    assert_eq!(news.take_pending(), vec![kept("e1", 6)]);
-    assert_eq!(news.take_pending(), Vec::new());
+    assert_eq!(outbox.take_pending(), vec![kept("e1", 6)]);
+    assert_eq!(outbox.take_pending(), Vec::new());
 }
 
 /// An entry that starts late gets the whole log, in several answers of limited size, so that none of them delays its
 /// lease.
 #[test]
-fn a_late_entry_is_told_all_in_several_answers() {
+fn late_entry_gets_the_whole_log_in_several_answers() {
     let mut log = KeptLog::default();
     for id in 0..1_500 {
         log.push(kept("e1", id));
@@ -63,7 +63,7 @@
 /// A leader collects announcements for hours. The log keeps only the latest ones, and a connection that has fallen
 /// behind continues with the oldest row that is left.
 #[test]
-fn the_log_stays_bounded() {
+fn log_is_bounded() {
     let mut log = KeptLog::default();
     let (_, early) = log.since(LogPlace::default());
     for id in 0..20_000 {
--- a/crates/acaciabay/tests/serving/main.rs
+++ b/crates/acaciabay/tests/serving/main.rs
@@ -1,6 +1,7 @@
 //! Tests of serving by host and path. Each decision is compared with its expected result, and some with a naive
 //! implementation.
 
+mod cached_parts;
 mod clock;
 mod config;
 mod config_freshness;
@@ -10,13 +11,12 @@
 mod events;
 mod fixtures;
 mod issued_order;
-mod keeping;
 mod leases;
 mod members;
-mod paces;
 mod pending_renewals;
 mod placement;
 mod pools;
+mod prefill_pace;
 mod prefill_placement;
 mod prompt_cache;
 mod replica_tracker;
--- a/crates/acaciabay/tests/serving/paces.rs
+++ b/crates/acaciabay/tests/serving/prefill_pace.rs
@@ -7,7 +7,7 @@
 /// Length of the test prompts. An idle test engine prefills one in 10 ms.
 const TOKENS: u64 = 3_000;
 
-fn reading(queued: u64, millis: u64) -> PrefillTime {
+fn prefill(queued: u64, millis: u64) -> PrefillTime {
     PrefillTime {
         queued,
         unread: TOKENS,
@@ -22,15 +22,15 @@
 /// In a burst, prompts wait in known queues for a second each. If this time counted as work, several times as many
 /// endpoints as needed would be ordered, and paid for long after the burst.
 #[test]
-fn waiting_in_a_queue_is_not_taken_for_reading() {
+fn known_queueing_time_does_not_count_as_prefill() {
     let mut pace = PrefillPace::default();
     for _ in 0..20 {
-        pace.record(reading(0, 10));
+        pace.record(prefill(0, 10));
     }
     let calm = value(pace);
 
     for _ in 0..200 {
-        pace.record(reading(60_000, 1_000));
+        pace.record(prefill(60_000, 1_000));
     }
 
     assert!((value(pace) - calm).abs() < f64::EPSILON);
@@ -39,11 +39,11 @@
 /// A few measurements are off by a multiple, since the prompt met an unknown queue or an engine that had cached all of
 /// its parts. The pace must not follow them.
 #[test]
-fn a_few_readings_that_are_off_hardly_move_the_pace() {
+fn outliers_hardly_move_the_pace() {
     let mut pace = PrefillPace::default();
     for round in 0..100 {
         let millis = if round % 10 == 0 { 500 } else { 10 };
-        pace.record(reading(0, millis));
+        pace.record(prefill(0, millis));
     }
 
     let true_pace = 10.0 / TOKENS as f64;
@@ -53,12 +53,12 @@
 /// In a burst, every prompt meets a queue that its entry does not know of. For ten seconds, at ten prompts a second,
 /// all of them take thirty times as long. The need may grow with the incoming work but not with the queueing time.
 #[test]
-fn queues_that_nobody_knows_of_hardly_raise_the_pace() {
+fn unknown_queues_hardly_raise_the_pace() {
     let mut pace = PrefillPace::default();
-    pace.record(reading(0, 10));
+    pace.record(prefill(0, 10));
 
     for _ in 0..100 {
-        pace.record(reading(0, 300));
+        pace.record(prefill(0, 300));
     }
 
     let true_pace = 10.0 / TOKENS as f64;
@@ -67,12 +67,12 @@
 
 /// Engines become slower permanently. The pace follows within a few hundred prompts.
 #[test]
-fn the_pace_follows_engines_that_become_slower() {
+fn pace_follows_engines_that_become_slower() {
     let mut pace = PrefillPace::default();
-    pace.record(reading(0, 10));
+    pace.record(prefill(0, 10));
 
     for _ in 0..300 {
-        pace.record(reading(0, 30));
+        pace.record(prefill(0, 30));
     }
 
     let true_pace = 30.0 / TOKENS as f64;
