--- a/crates/acacia-control/src/share_plan.rs
+++ b/crates/acacia-control/src/share_plan.rs
@@ -12,7 +12,7 @@
 use acaciabay::core::serving_lease::{LEASE_DRIFT, SERVING_LEASE};
 use acaciabay::core::share_table::{PoolDemand, ShareTable};
 use acaciabay::core::token_latency::PoolThrottle;
-use acaciabay::ops::divide_pool::{EntryPart, divide_pool};
+use acaciabay::ops::divide_pool::{EntryAllocation, divide_pool};
 
 use crate::daemon::SoftState;
 
@@ -35,7 +35,7 @@
 #[derive(Debug, Default)]
 struct PoolPlan {
     capacity: u32,
-    parts: BTreeMap<HostName, EntryPart>,
+    parts: BTreeMap<HostName, EntryAllocation>,
 }
 
 impl SoftState {
--- a/crates/acacia-entry/src/caller_request.rs
+++ b/crates/acacia-entry/src/caller_request.rs
@@ -11,7 +11,7 @@
 use acaciabay::core::fair_queue::RequestCost;
 use acaciabay::core::name::{CustomerName, EndpointName};
 use acaciabay::core::table::{PoolRow, RouteTarget};
-use acaciabay::ops::place_request::{PlacementRequest, place_in_turn, place_request};
+use acaciabay::ops::place_request::{PlacementRequest, place_request, place_round_robin};
 use acaciabay::ops::route_request::{RouteRefusal, route_request};
 use acaciabay::util::digest::ContentDigest;
 use bytes::Bytes;
@@ -179,6 +179,6 @@
 ) -> Option<(&'view EndpointName, &'view EndpointRow)> {
     match entry.settings.policy {
         AdmissionPolicy::Fair => place_request(now, &mut rand::rng(), &view.table, &view.sends, request),
-        AdmissionPolicy::Baseline => place_in_turn(now, entry.next_number(), &view.table, request),
+        AdmissionPolicy::Baseline => place_round_robin(now, entry.next_number(), &view.table, request),
     }
 }
--- a/crates/acacia-entry/src/shared.rs
+++ b/crates/acacia-entry/src/shared.rs
@@ -13,7 +13,7 @@
 use acaciabay::core::name::EndpointName;
 use acaciabay::core::retry_budget::RetryBudget;
 use acaciabay::core::serving_lease::ServingLease;
-use acaciabay::ops::place_request::OwnSends;
+use acaciabay::ops::place_request::LocalLoads;
 use parking_lot::{Mutex, RwLock};
 use slog::Logger;
 use tokio_util::sync::CancellationToken;
@@ -47,7 +47,7 @@
     /// Their reports.
     pub(crate) table: EndpointTable,
     /// What this entry has under way at each.
-    pub(crate) sends: OwnSends,
+    pub(crate) sends: LocalLoads,
     /// Reports that this entry received itself and has not passed on yet.
     pub(crate) unsent: Vec<EndpointName>,
 }
--- a/crates/acaciabay/src/ops/divide_pool.rs
+++ b/crates/acaciabay/src/ops/divide_pool.rs
@@ -5,9 +5,9 @@
 use crate::core::name::{CustomerName, HostName};
 use crate::core::share_table::PoolDemand;
 
-/// The share of a pool that one entry should get.
+/// The capacity of a pool that one entry should get.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct EntryPart {
+pub struct EntryAllocation {
     /// Number of pieces, including headroom.
     pub pieces: u32,
     /// Weights of the customers whose requests this entry receives. The weights of one customer add up to 1 over all
@@ -21,14 +21,14 @@
 /// by their own demand instead, a customer that floods one entry would take capacity from all customers at the others.
 /// Capacity without demand is spread evenly over the entries as headroom, so that a burst is admitted without asking
 /// the leader first.
-pub fn divide_pool(capacity: u32, demands: &BTreeMap<&HostName, &PoolDemand>) -> BTreeMap<HostName, EntryPart> {
+pub fn divide_pool(capacity: u32, demands: &BTreeMap<&HostName, &PoolDemand>) -> BTreeMap<HostName, EntryAllocation> {
     let totals = total_demands(demands);
-    let parts = customer_parts(f64::from(capacity), &totals);
-    let given: f64 = parts.values().sum();
-    let headroom = (f64::from(capacity) - given).max(0.0) / demands.len().max(1) as f64;
+    let shares = max_min_shares(f64::from(capacity), &totals);
+    let allocated: f64 = shares.values().sum();
+    let headroom = (f64::from(capacity) - allocated).max(0.0) / demands.len().max(1) as f64;
     let entries = demands
         .iter()
-        .map(|(host, demand)| ((*host).clone(), part_of(demand, &totals, &parts, headroom)));
+        .map(|(host, demand)| ((*host).clone(), entry_allocation(demand, &totals, &shares, headroom)));
     entries.collect()
 }
 
@@ -47,30 +47,32 @@
 ///
 /// In ascending order of demand, each customer gets its demand or an equal share of the remaining capacity, whichever
 /// is less.
-pub fn customer_parts<'demand>(
+pub fn max_min_shares<'demand>(
     capacity: f64,
     totals: &BTreeMap<&'demand CustomerName, u64>,
 ) -> BTreeMap<&'demand CustomerName, f64> {
     let mut by_demand: Vec<(&CustomerName, u64)> =
         totals.iter().map(|(customer, pieces)| (*customer, *pieces)).collect();
     by_demand.sort_by_key(|(_, pieces)| *pieces);
-    let mut left = capacity;
-    let mut parts = BTreeMap::new();
-    for (place, (customer, pieces)) in by_demand.iter().enumerate() {
-        let equal = left / (by_demand.len() - place) as f64;
-        let part = equal.min(*pieces as f64);
-        left -= part;
-        parts.insert(*customer, part);
+    let mut remaining = capacity;
+    let mut shares = BTreeMap::new();
+    for (index, (customer, pieces)) in by_demand.iter().enumerate() {
+        let equal_share = remaining / (by_demand.len() - index) as f64;
+        let share = equal_share.min(*pieces as f64);
+        remaining -= share;
+        shares.insert(*customer, share);
     }
-    parts
+    shares
 }
 
-fn part_of(
+/// Returns the allocation of one entry: from the share of each customer the fraction that matches its demand here, and
+/// the headroom.
+fn entry_allocation(
     demand: &PoolDemand,
     totals: &BTreeMap<&CustomerName, u64>,
-    parts: &BTreeMap<&CustomerName, f64>,
+    shares: &BTreeMap<&CustomerName, f64>,
     headroom: f64,
-) -> EntryPart {
+) -> EntryAllocation {
     let weight = |customer: &CustomerName, pieces: u64| {
         let total = totals.get(customer).copied().unwrap_or(1).max(1);
         pieces as f64 / total as f64
@@ -80,13 +82,13 @@
         .iter()
         .map(|(customer, pieces)| (customer.clone(), weight(customer, *pieces)));
     let weights: BTreeMap<CustomerName, f64> = weights.collect();
-    let part = |customer: &CustomerName| parts.get(customer).copied().unwrap_or(0.0);
-    let own: f64 = weights.iter().map(|(customer, weight)| part(customer) * weight).sum();
+    let share = |customer: &CustomerName| shares.get(customer).copied().unwrap_or(0.0);
+    let customer_pieces: f64 = weights.iter().map(|(customer, weight)| share(customer) * weight).sum();
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
-        reason = "parts lie between 0 and the capacity"
+        reason = "shares lie between 0 and the capacity"
     )]
-    let pieces = (own + headroom + 1e-6).floor() as u32;
-    EntryPart { pieces, weights }
+    let pieces = (customer_pieces + headroom + 1e-6).floor() as u32;
+    EntryAllocation { pieces, weights }
 }
--- a/crates/acaciabay/src/ops/place_request.rs
+++ b/crates/acaciabay/src/ops/place_request.rs
@@ -17,7 +17,7 @@
 
 /// The load that this entry's own requests in flight put on one endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct OwnLoad {
+pub struct LocalLoad {
     /// Number of requests in flight.
     pub requests: u32,
     /// Pieces of the endpoint's memory that they hold.
@@ -27,7 +27,7 @@
 }
 
 /// The load that this entry puts on each endpoint, which the endpoint's lagging report may not include yet.
-pub type OwnSends = BTreeMap<EndpointName, OwnLoad>;
+pub type LocalLoads = BTreeMap<EndpointName, LocalLoad>;
 
 /// A request that needs an endpoint.
 #[derive(Clone, Copy, Debug)]
@@ -52,14 +52,14 @@
     now: BootTime,
     random: &mut impl Rng,
     endpoints: &'table EndpointTable,
-    sends: &OwnSends,
+    local_loads: &LocalLoads,
     request: PlacementRequest<'_>,
 ) -> Option<(&'table EndpointName, &'table EndpointRow)> {
     let mut candidates: Vec<_> = endpoints
         .rows()
-        .filter(|(name, row)| is_candidate(now, name, row, request))
+        .filter(|(name, row)| is_eligible(now, name, row, request))
         .collect();
-    let with_room = |candidate: &(&EndpointName, &EndpointRow)| has_room(*candidate, sends, request.pieces);
+    let with_room = |candidate: &(&EndpointName, &EndpointRow)| has_room(*candidate, local_loads, request.pieces);
     if candidates.iter().any(with_room) {
         candidates.retain(with_room);
     }
@@ -68,13 +68,13 @@
     }
     if !request.prefix.is_empty() {
         let preferred = highest_ranked(request.prefix, &candidates)?;
-        if is_within_affinity_bound(preferred, &candidates, sends, request.pieces) {
+        if is_within_affinity_bound(preferred, &candidates, local_loads, request.pieces) {
             return Some(preferred);
         }
     }
     let first = candidates[random.random_range(0..candidates.len())];
     let second = candidates[random.random_range(0..candidates.len())];
-    Some(if load(first, sends) <= load(second, sends) {
+    Some(if load(first, local_loads) <= load(second, local_loads) {
         first
     } else {
         second
@@ -82,7 +82,7 @@
 }
 
 /// Chooses the endpoints in turn (round robin) regardless of load, as the baseline for measurements.
-pub fn place_in_turn<'table>(
+pub fn place_round_robin<'table>(
     now: BootTime,
     turn: u64,
     endpoints: &'table EndpointTable,
@@ -90,7 +90,7 @@
 ) -> Option<(&'table EndpointName, &'table EndpointRow)> {
     let candidates: Vec<_> = endpoints
         .rows()
-        .filter(|(name, row)| is_candidate(now, name, row, request))
+        .filter(|(name, row)| is_eligible(now, name, row, request))
         .collect();
     let index = usize::try_from(turn).unwrap_or(0).checked_rem(candidates.len())?;
     candidates.get(index).copied()
@@ -106,7 +106,7 @@
         .copied()
 }
 
-fn is_candidate(now: BootTime, name: &EndpointName, row: &EndpointRow, request: PlacementRequest<'_>) -> bool {
+fn is_eligible(now: BootTime, name: &EndpointName, row: &EndpointRow, request: PlacementRequest<'_>) -> bool {
     request.pool.contains(name)
         && row.takes_work(now)
         && serves_target(&row.work, request.target)
@@ -116,7 +116,7 @@
 fn serves_target(work: &EndpointWork, target: &RouteTarget) -> bool {
     match (work, target) {
         (EndpointWork::Models(models), RouteTarget::Model(model)) => models.contains(model),
-        (EndpointWork::Service(own), RouteTarget::Service(service)) => own == service,
+        (EndpointWork::Service(served), RouteTarget::Service(service)) => served == service,
         (EndpointWork::Models(_), RouteTarget::Service(_)) | (EndpointWork::Service(_), RouteTarget::Model(_)) => false,
     }
 }
@@ -124,26 +124,27 @@
 fn is_within_affinity_bound(
     preferred: (&EndpointName, &EndpointRow),
     candidates: &[(&EndpointName, &EndpointRow)],
-    sends: &OwnSends,
+    local_loads: &LocalLoads,
     pieces: u32,
 ) -> bool {
-    let total: f64 = candidates.iter().map(|candidate| load(*candidate, sends)).sum();
+    let total: f64 = candidates.iter().map(|candidate| load(*candidate, local_loads)).sum();
     let mean = total / candidates.len() as f64;
-    let own = f64::from(pieces) / f64::from(preferred.1.pieces.max(1));
-    load(preferred, sends) <= mean * AFFINITY_LOAD_BOUND + own
+    let request_load = f64::from(pieces) / f64::from(preferred.1.pieces.max(1));
+    load(preferred, local_loads) <= mean * AFFINITY_LOAD_BOUND + request_load
 }
 
-fn has_room((name, row): (&EndpointName, &EndpointRow), sends: &OwnSends, pieces: u32) -> bool {
-    used((name, row), sends) + pieces <= row.pieces
+fn has_room((name, row): (&EndpointName, &EndpointRow), local_loads: &LocalLoads, pieces: u32) -> bool {
+    used_pieces((name, row), local_loads) + pieces <= row.pieces
 }
 
 /// Returns the fraction of the endpoint's memory in use.
-fn load((name, row): (&EndpointName, &EndpointRow), sends: &OwnSends) -> f64 {
-    f64::from(used((name, row), sends)) / f64::from(row.pieces.max(1))
+fn load((name, row): (&EndpointName, &EndpointRow), local_loads: &LocalLoads) -> f64 {
+    f64::from(used_pieces((name, row), local_loads)) / f64::from(row.pieces.max(1))
 }
 
 /// Returns the pieces in use by the endpoint's report, plus those that this entry has sent since.
-fn used((name, row): (&EndpointName, &EndpointRow), sends: &OwnSends) -> u32 {
-    let own = sends.get(name).copied().unwrap_or_default();
-    row.pieces_used.saturating_add(own.pieces.saturating_sub(own.reported))
+fn used_pieces((name, row): (&EndpointName, &EndpointRow), local_loads: &LocalLoads) -> u32 {
+    let local = local_loads.get(name).copied().unwrap_or_default();
+    row.pieces_used
+        .saturating_add(local.pieces.saturating_sub(local.reported))
 }
--- a/crates/acaciabay/tests/naive/placement.rs
+++ b/crates/acaciabay/tests/naive/placement.rs
@@ -6,7 +6,7 @@
 };
 use acaciabay::core::name::EndpointName;
 use acaciabay::core::table::{EndpointPattern, PoolRow, RouteTarget};
-use acaciabay::ops::place_request::{OwnLoad, OwnSends, PlacementRequest, place_request};
+use acaciabay::ops::place_request::{LocalLoad, LocalLoads, PlacementRequest, place_request};
 use proptest::prelude::*;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -43,8 +43,8 @@
     check(2_000, &all, |(rows, tried, seed, with_prefix)| {
         let now = BootTime::from_millis(100_000);
         let name = |number: usize| EndpointName::new(format!("e{number}"));
-        let (mut table, mut sends) = (EndpointTable::default(), OwnSends::new());
-        for (number, (used, age, drains, own)) in rows.iter().enumerate() {
+        let (mut table, mut local_loads) = (EndpointTable::default(), LocalLoads::new());
+        for (number, (used, age, drains, local)) in rows.iter().enumerate() {
             let heard_at = BootTime::from_millis(100_000 - age * 1_000);
             let state = if *drains {
                 EndpointState::Draining
@@ -52,11 +52,11 @@
                 EndpointState::Ready
             };
             table.report(&name(number), endpoint(*used, heard_at, state));
-            sends.insert(
+            local_loads.insert(
                 name(number),
-                OwnLoad {
-                    requests: *own,
-                    pieces: *own,
+                LocalLoad {
+                    requests: *local,
+                    pieces: *local,
                     reported: 0,
                 },
             );
@@ -77,7 +77,7 @@
             tried: &tried,
         };
 
-        let picked = place_request(now, &mut StdRng::seed_from_u64(seed), &table, &sends, request);
+        let picked = place_request(now, &mut StdRng::seed_from_u64(seed), &table, &local_loads, request);
 
         let load = |number: usize| rows[number].0 + rows[number].3;
         let takes_work = |number: &usize| {
--- a/crates/acaciabay/tests/naive/shares.rs
+++ b/crates/acaciabay/tests/naive/shares.rs
@@ -2,7 +2,7 @@
 
 use acaciabay::core::name::{CustomerName, HostName, PoolName};
 use acaciabay::core::share_table::{PoolDemand, ShareTable};
-use acaciabay::ops::divide_pool::{customer_parts, divide_pool, total_demands};
+use acaciabay::ops::divide_pool::{divide_pool, max_min_shares, total_demands};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
@@ -31,7 +31,7 @@
             .collect();
         let demands: BTreeMap<&HostName, &PoolDemand> = hosts.iter().zip(&demands).collect();
         let (parts, totals) = (divide_pool(capacity, &demands), total_demands(&demands));
-        let given = customer_parts(f64::from(capacity), &totals);
+        let given = max_min_shares(f64::from(capacity), &totals);
         let mut wants: BTreeMap<CustomerName, u64> = BTreeMap::new();
         for (who, pieces) in demands.values().flat_map(|demand| &demand.customers) {
             *wants.entry(who.clone()).or_default() += pieces;
