--- a/crates/acaciabay/src/ops/plan_deliveries.rs
+++ b/crates/acaciabay/src/ops/plan_deliveries.rs
@@ -43,11 +43,11 @@
 ) -> Vec<DeliveryStep> {
     let unsettled = orders.rows().filter(|(_, order)| !order.settled);
     unsettled
-        .filter_map(|(name, order)| plan_one(now, name, order, endpoints.get(name), deliveries))
+        .filter_map(|(name, order)| plan_delivery(now, name, order, endpoints.get(name), deliveries))
         .collect()
 }
 
-fn plan_one(
+fn plan_delivery(
     now: BootTime,
     name: &EndpointName,
     order: &OrderRow,
@@ -56,27 +56,27 @@
 ) -> Option<DeliveryStep> {
     let endpoint = endpoint?;
     let number = order.number.0;
-    let quiet_since = deliveries.in_flight_until(number);
-    let reported_since = quiet_since.is_some_and(|since| endpoint.heard_at >= since);
-    let void = endpoint.incarnation > order.incarnation;
-    let same = endpoint.incarnation == order.incarnation;
-    let done = same && reported_since && is_at_target(endpoint, &order.target);
-    if void || done {
+    let in_flight_until = deliveries.in_flight_until(number);
+    let reported_after = in_flight_until.is_some_and(|until| endpoint.heard_at >= until);
+    let is_superseded = endpoint.incarnation > order.incarnation;
+    let same_incarnation = endpoint.incarnation == order.incarnation;
+    let is_fulfilled = same_incarnation && reported_after && is_in_target_state(endpoint, &order.target);
+    if is_superseded || is_fulfilled {
         return Some(DeliveryStep::Settle {
             endpoint: name.clone(),
             order: order.clone(),
         });
     }
-    let send = same && deliveries.may_send(number, now);
+    let should_send = same_incarnation && deliveries.may_send(number, now);
     let (address, order) = (endpoint.address, order.clone());
-    send.then(|| DeliveryStep::Send {
+    should_send.then(|| DeliveryStep::Send {
         endpoint: name.clone(),
         address,
         order,
     })
 }
 
-const fn is_at_target(endpoint: &EndpointRow, target: &OrderTarget) -> bool {
+const fn is_in_target_state(endpoint: &EndpointRow, target: &OrderTarget) -> bool {
     match (endpoint.state, target) {
         (EndpointState::Ready, OrderTarget::Serve) | (EndpointState::Draining, OrderTarget::Drain) => true,
         (EndpointState::Ready, OrderTarget::Drain) | (EndpointState::Draining, OrderTarget::Serve) => false,
--- a/crates/acaciabay/src/ops/plan_windows.rs
+++ b/crates/acaciabay/src/ops/plan_windows.rs
@@ -10,12 +10,12 @@
 use crate::util::number::whole_millis;
 
 /// Fraction of the delivery deadline after which a window is sealed if every entry has reported since the window ended.
-const EARLY_PART: f64 = 0.35;
+const MIN_SEAL_FRACTION: f64 = 0.35;
 /// Fraction of the delivery deadline after which a window is sealed in any case. The rest is for delivery and retries.
-const LATE_PART: f64 = 0.7;
+const MAX_SEAL_FRACTION: f64 = 0.7;
 /// Largest number of windows before the latest one that may still be sealed. Older windows were due long ago, and a
 /// group that starts over does not report them.
-const MOST_BEHIND: u64 = 12;
+const MAX_WINDOWS_BEHIND: u64 = 12;
 
 /// The current time and the timing of usage windows.
 #[derive(Clone, Copy, Debug)]
@@ -36,19 +36,19 @@
     last_sealed: WindowNumber,
     longest_silence: Duration,
 ) -> impl Iterator<Item = WindowNumber> {
-    let complete = clock.ended_before(clock.due.mul_f64(EARLY_PART).max(longest_silence));
-    let overdue = clock.ended_before(clock.due.mul_f64(LATE_PART));
+    let complete = clock.ended_before(clock.due.mul_f64(MIN_SEAL_FRACTION).max(longest_silence));
+    let overdue = clock.ended_before(clock.due.mul_f64(MAX_SEAL_FRACTION));
     let last = complete.max(overdue);
-    let next = if last_sealed.0 == 0 { last } else { last_sealed.0 + 1 };
-    (next.max(last.saturating_sub(MOST_BEHIND))..=last).map(WindowNumber)
+    let first = if last_sealed.0 == 0 { last } else { last_sealed.0 + 1 };
+    (first.max(last.saturating_sub(MAX_WINDOWS_BEHIND))..=last).map(WindowNumber)
 }
 
 impl WindowClock {
-    /// Returns the number of the last window that ended at least `ago` before the current time.
-    fn ended_before(&self, ago: Duration) -> u64 {
-        let millis = whole_millis(ago);
-        let moment = self.wall_millis.saturating_sub(millis);
-        // The window that contains that moment had not ended by then, but the previous one had.
-        WindowNumber::at(moment, self.length_millis.max(1)).0.saturating_sub(1)
+    /// Returns the number of the last window that ended at least `age` before the current time.
+    fn ended_before(&self, age: Duration) -> u64 {
+        let millis = whole_millis(age);
+        let cutoff = self.wall_millis.saturating_sub(millis);
+        // The window that contains the cutoff had not ended by then, but the previous one had.
+        WindowNumber::at(cutoff, self.length_millis.max(1)).0.saturating_sub(1)
     }
 }
