--- a/crates/acaciabay/tests/serving/members.rs
+++ b/crates/acaciabay/tests/serving/members.rs
@@ -21,7 +21,7 @@
 }
 
 /// Returns the leader of a group with one member, and the current time.
-fn lone_leader(policy: QuorumPolicy) -> (Replica, BootTime) {
+fn single_member_leader(policy: QuorumPolicy) -> (Replica, BootTime) {
     let row = MemberRow {
         host: "h1".into(),
         address: "10.0.0.1:1".to_owned(),
@@ -39,11 +39,12 @@
         now = now + Duration::from_millis(20);
         replica.tick(now);
     }
-    settle(&mut replica);
+    sync_log(&mut replica);
     (replica, now)
 }
 
-fn settle(replica: &mut Replica) {
+/// Confirms the log writes of the replica and drops its messages, in three rounds.
+fn sync_log(replica: &mut Replica) {
     for _ in 0..3 {
         let _output = replica.take_output();
         replica.note_synced();
@@ -54,12 +55,12 @@
 /// rounds, and the host has an empty disk and has not answered yet. If it counted as silent since the first round, it
 /// would be removed at once.
 #[test]
-fn a_new_member_is_not_silent() {
-    let (mut replica, mut now) = lone_leader(QuorumPolicy::default());
+fn new_member_does_not_count_as_silent() {
+    let (mut replica, mut now) = single_member_leader(QuorumPolicy::default());
     for _ in 0..2_000 {
         now = now + Duration::from_millis(20);
         replica.tick(now);
-        settle(&mut replica);
+        sync_log(&mut replica);
     }
     let change = MemberChange::Admit {
         host: "h2".into(),
@@ -67,7 +68,7 @@
         disk: DiskId(70_000),
     };
     replica.change_members(change).expect("no other change is in progress");
-    settle(&mut replica);
+    sync_log(&mut replica);
 
     let followers = replica.followers();
 
@@ -76,13 +77,13 @@
     assert_eq!(plan_members(&followers, 1, 5), None);
 }
 
-/// Three replicas that exchange messages, except with those that are cut off.
-struct Trio {
+/// Three replicas that exchange messages, except with those that are isolated.
+struct ThreeReplicas {
     replicas: Vec<Replica>,
     now: BootTime,
 }
 
-impl Trio {
+impl ThreeReplicas {
     fn new(policy: QuorumPolicy) -> Self {
         let row = |number: u64| MemberRow {
             host: format!("h{number}").as_str().into(),
@@ -104,8 +105,8 @@
         }
     }
 
-    /// Advances the time by `millis`. Messages to and from the replicas in `cut` are lost.
-    fn run(&mut self, millis: u64, cut: &[ReplicaId]) {
+    /// Advances the time by `millis`. Messages to and from the replicas in `isolated` are lost.
+    fn run(&mut self, millis: u64, isolated: &[ReplicaId]) {
         for _ in 0..millis / 20 {
             self.now = self.now + Duration::from_millis(20);
             let mut messages = Vec::new();
@@ -117,7 +118,7 @@
                 messages.extend(output.messages);
             }
             for message in messages {
-                if cut.contains(&message.to) || cut.contains(&message.from) {
+                if isolated.contains(&message.to) || isolated.contains(&message.from) {
                     continue;
                 }
                 let to = self.replicas.iter_mut().find(|replica| replica.id() == message.to);
@@ -139,24 +140,25 @@
 /// Guards against the loss of an accepted log entry. The policy allows for two disks lost at once, and only three hosts
 /// have a disk so far. An entry that is accepted once a majority, two disks, has it would be lost with both.
 #[test]
-fn an_entry_counts_only_on_as_many_disks_as_the_policy_says() {
+fn entry_is_committed_only_once_min_copies_replicas_store_it() {
     let policy = QuorumPolicy {
         min_copies: 3,
         max_voters: Some(5),
     };
-    let mut trio = Trio::new(policy);
-    trio.run(4_000, &[]);
-    let leader = trio.leader().id();
+    let mut group = ThreeReplicas::new(policy);
+    group.run(4_000, &[]);
+    let leader = group.leader().id();
     let other = ReplicaId(leader.0 % 3 + 1);
-    trio.leader()
+    group
+        .leader()
         .propose(bytes::Bytes::from_static(b"x"))
         .expect("the replica is the leader");
-    let proposed = trio.leader().log().last_index();
+    let proposed = group.leader().log().last_index();
 
-    trio.run(400, &[other]);
-    let on_two_disks = trio.leader().delivered();
-    trio.run(400, &[]);
-    let on_three_disks = trio.leader().delivered();
+    group.run(400, &[other]);
+    let on_two_disks = group.leader().delivered();
+    group.run(400, &[]);
+    let on_three_disks = group.leader().delivered();
 
     assert!(on_two_disks < proposed);
     assert!(on_three_disks >= proposed);
@@ -165,19 +167,19 @@
 /// Guards against more voters than the policy wants. All of them are present and one more host joins; if it became a
 /// voter as well, a tolerated number of losses could leave no majority.
 #[test]
-fn no_more_vote_than_are_wanted() {
+fn voters_do_not_exceed_max_voters() {
     let policy = QuorumPolicy {
         min_copies: 1,
         max_voters: Some(1),
     };
-    let (mut replica, mut now) = lone_leader(policy);
+    let (mut replica, mut now) = single_member_leader(policy);
     let change = MemberChange::Admit {
         host: "h2".into(),
         address: "10.0.0.2:1".to_owned(),
         disk: DiskId(70_000),
     };
     let (index, learner) = replica.change_members(change).expect("no other change is in progress");
-    settle(&mut replica);
+    sync_log(&mut replica);
 
     for round in 0..20 {
         now = now + Duration::from_millis(100);
@@ -194,7 +196,7 @@
             body: reply,
         };
         replica.step(now, message);
-        settle(&mut replica);
+        sync_log(&mut replica);
     }
 
     assert!(!replica.members().is_voter(learner));
@@ -203,12 +205,12 @@
 /// Guards against a permanently lost voter that stays although a learner could replace it: the loss of one more voter
 /// would stop the group.
 #[test]
-fn a_substitute_takes_the_place_of_the_longest_silent_voter() {
-    let short = VOTER_SILENCE;
-    let long = VOTER_SILENCE * 2;
+fn longest_silent_voter_is_removed_if_a_learner_can_replace_it() {
+    let shorter = VOTER_SILENCE;
+    let longer = VOTER_SILENCE * 2;
     let followers = [
-        follower(2, true, short),
-        follower(3, true, long),
+        follower(2, true, shorter),
+        follower(3, true, longer),
         follower(4, true, Duration::ZERO),
         follower(6, false, Duration::ZERO),
     ];
@@ -219,20 +221,20 @@
 /// Guards against the removal of a silent voter that no learner can replace. The removal would not restore a copy of
 /// the log.
 #[test]
-fn a_silent_voter_stays_without_a_substitute() {
+fn silent_voter_stays_if_no_learner_can_replace_it() {
     let silent = follower(2, true, VOTER_SILENCE * 10);
-    let behind = FollowerState {
+    let lagging = FollowerState {
         caught_up: false,
         ..follower(6, false, Duration::ZERO)
     };
 
     assert_eq!(plan_members(&[silent], 5, 5), None);
-    assert_eq!(plan_members(&[silent, behind], 5, 5), None);
+    assert_eq!(plan_members(&[silent, lagging], 5, 5), None);
 }
 
 #[test]
-fn a_learner_that_is_gone_is_removed() {
-    let gone = follower(6, false, LEARNER_SILENCE);
+fn silent_learner_is_removed() {
+    let learner = follower(6, false, LEARNER_SILENCE);
 
-    assert_eq!(plan_members(&[gone], 5, 5), Some(ReplicaId(6)));
+    assert_eq!(plan_members(&[learner], 5, 5), Some(ReplicaId(6)));
 }
--- a/crates/acaciabay/tests/serving/placement.rs
+++ b/crates/acaciabay/tests/serving/placement.rs
@@ -19,44 +19,44 @@
 }
 
 #[test]
-fn tokens_are_made_in_the_domain_of_the_reader_while_it_has_room() {
+fn stream_is_decoded_in_the_prefill_domain_unless_its_engine_is_busy() {
     let rows = rows(3, EngineStage::Decode);
-    let (own, reader) = (DomainName::new("a"), DomainName::new("c"));
+    let (entry_domain, prefill_domain) = (DomainName::new("a"), DomainName::new("c"));
     let mut loads = LoadTable::default();
-    let near = |loads: &LoadTable| {
+    let place = |loads: &LoadTable| {
         let view = PlacementView {
             now: at(0),
-            domain: &own,
+            domain: &entry_domain,
             loads,
         };
-        place_stream(&view, &candidates(&rows), 400_000, Some(&reader), 7)
+        place_stream(&view, &candidates(&rows), 400_000, Some(&prefill_domain), 7)
     };
 
-    assert_eq!(near(&loads), Some(name("e2")));
+    assert_eq!(place(&loads), Some(name("e2")));
 
     loads.begin(&name("e2"), calls(20));
-    assert_ne!(near(&loads), Some(name("e2")));
+    assert_ne!(place(&loads), Some(name("e2")));
 }
 
 /// Guards against many entries choosing the same engine. Two hundred entries place a stream within the same quarter of
 /// a second, before they learn of each other's streams. If all chose the engine with the fewest streams, its slots
 /// would fill up while other engines are free.
 #[test]
-fn entries_that_do_not_hear_of_each_other_spread_their_streams() {
+fn entries_unaware_of_each_other_spread_their_streams() {
     let rows = rows(8, EngineStage::Decode);
-    let own = DomainName::new("elsewhere");
+    let entry_domain = DomainName::new("elsewhere");
     let mut loads = LoadTable::default();
     loads.begin(&name("e0"), calls(1));
     let view = PlacementView {
         now: at(0),
-        domain: &own,
+        domain: &entry_domain,
         loads: &loads,
     };
 
     let mut streams = BTreeMap::new();
     for entry in 0..200_u64 {
-        let draw = rendezvous::hash(&entry.to_be_bytes());
-        let chosen = place_stream(&view, &candidates(&rows), 400_000, None, draw).expect("there are engines");
+        let seed = rendezvous::hash(&entry.to_be_bytes());
+        let chosen = place_stream(&view, &candidates(&rows), 400_000, None, seed).expect("there are engines");
         *streams.entry(chosen).or_insert(0) += 1;
     }
 
@@ -68,30 +68,30 @@
 /// running calls, which takes longer than the change itself. Calls placed by its last report would be refused until the
 /// next one.
 #[test]
-fn an_engine_rests_until_it_reports_what_was_ordered() {
+fn engine_is_switching_until_it_reports_the_ordered_stage() {
     let mut loads = LoadTable::default();
-    let making = numbered(1, "a", EngineStage::Decode);
-    let reading = numbered(1, "a", EngineStage::Prefill);
+    let decoding = numbered(1, "a", EngineStage::Decode);
+    let prefilling = numbered(1, "a", EngineStage::Prefill);
     let order = StageSwitch {
-        birth: making.birth,
+        birth: decoding.birth,
         stage: EngineStage::Prefill,
         until: at(11_000),
     };
 
     loads.set_stage_switches([(name("e"), order)]);
 
-    assert!(loads.is_switching_stage(at(5_000), &name("e"), &making));
-    assert!(!loads.is_switching_stage(at(5_000), &name("e"), &reading));
-    assert!(!loads.is_switching_stage(at(11_000), &name("e"), &making));
+    assert!(loads.is_switching_stage(at(5_000), &name("e"), &decoding));
+    assert!(!loads.is_switching_stage(at(5_000), &name("e"), &prefilling));
+    assert!(!loads.is_switching_stage(at(11_000), &name("e"), &decoding));
     let restarted = ServingEndpoint {
         birth: EndpointBirth(2_000),
-        ..making
+        ..decoding
     };
     assert!(!loads.is_switching_stage(at(5_000), &name("e"), &restarted));
 }
 
 #[test]
-fn what_is_done_is_no_load() {
+fn finished_work_adds_no_load() {
     let mut loads = LoadTable::default();
     loads.begin(&name("e"), unread(100));
     loads.end(&name("e"), unread(100));
@@ -105,7 +105,7 @@
 
     /// Plain calls go to an endpoint with the fewest calls, within the penalty for another failure domain.
     #[test]
-    fn plain_calls_go_where_slots_are_free(loads_of in prop::collection::vec(0_u64..64, 3), draw: u64) {
+    fn plain_calls_go_to_a_least_loaded_endpoint(loads_of in prop::collection::vec(0_u64..64, 3), seed: u64) {
         let rows = rows(3, EngineStage::Decode);
         let mut loads = LoadTable::default();
         for ((name, _), count) in rows.iter().zip(&loads_of) {
@@ -113,7 +113,7 @@
         }
         let domain = DomainName::new("a");
         let view = PlacementView { now: at(0), domain: &domain, loads: &loads };
-        let chosen = place_plain(&view, &candidates(&rows), draw).expect("there are endpoints");
+        let chosen = place_plain(&view, &candidates(&rows), seed).expect("there are endpoints");
         let used = |name: &EndpointName| loads.work(name).calls as f64 / 64.0;
         let least = rows.iter().map(|(name, _)| used(name)).fold(f64::INFINITY, f64::min);
         prop_assert!(used(&chosen) <= least + 0.15 + 1e-9);
