--- a/crates/acacia-control/src/storage/data_folder.rs
+++ b/crates/acacia-control/src/storage/data_folder.rs
@@ -1,4 +1,4 @@
-//! Opening the folder, and replacing files in it so that a crash leaves the old one or the new one.
+//! Access to the data folder, and replacement of its files such that a crash leaves either the old or the new file.
 
 use std::fs::{File, OpenOptions};
 use std::io::Write;
@@ -15,18 +15,18 @@
 use super::record::file_header;
 use super::snapshot_file;
 
-/// What a folder held when it was opened.
+/// Snapshot and log that were loaded from a data folder.
 #[derive(Debug)]
 pub struct StoredReplica {
-    /// The replicated state to start from.
+    /// Replicated state at the start of the log.
     pub snapshot: ReplicaSnapshot,
-    /// Term, vote and the log after the snapshot.
+    /// Term, vote and the log entries after the snapshot.
     pub restored: RestoredReplica,
-    /// How many bytes of an unfinished write were cut off.
+    /// Number of bytes that were truncated because their write was incomplete.
     pub torn_bytes: usize,
 }
 
-/// An open data folder. It is locked: a second process that used it at the same time would ruin it.
+/// Open data folder, locked because two processes that use it at the same time would corrupt it.
 #[derive(Debug)]
 pub struct DataFolder {
     path: PathBuf,
@@ -35,13 +35,13 @@
 }
 
 impl DataFolder {
-    /// Opens a folder and makes it if needed.
+    /// Opens and locks a folder, and creates it if it does not exist.
     ///
     /// # Errors
     ///
-    /// Fails when the folder cannot be used or another process uses it.
+    /// Fails if the folder cannot be created or opened, or if another process has locked it.
     pub fn open(path: &Path) -> anyhow::Result<Self> {
-        std::fs::create_dir_all(path).with_context(|| format!("failed to make the folder `{}`", path.display()))?;
+        std::fs::create_dir_all(path).with_context(|| format!("failed to create the folder `{}`", path.display()))?;
         let lock_path = path.join("lock");
         let lock = OpenOptions::new()
             .create(true)
@@ -58,46 +58,47 @@
         })
     }
 
-    /// Returns whom the folder belongs to, or nothing for an empty folder.
+    /// Returns the group and the replica that the folder belongs to, or `None` if it contains neither identity nor log.
     ///
     /// # Errors
     ///
-    /// Fails when the file is damaged. A folder with a log and without an identity is damaged too: taking it for an
-    /// empty one would throw the log away.
+    /// Fails if the file cannot be read or is corrupt, or if there is a log but no identity: treating such a folder as
+    /// empty would discard the log.
     pub fn identity(&self) -> anyhow::Result<Option<FolderIdentity>> {
         let found = identity::read(&self.path)?;
         if found.is_none() && self.path.join("log").exists() {
             bail!(
-                "folder `{}` holds a log but no identity; it was tampered with",
+                "folder `{}` contains a log but no identity file; the folder is corrupt",
                 self.path.display()
             );
         }
         Ok(found)
     }
 
-    /// Stores whom the folder belongs to.
+    /// Stores the group and the replica that the folder belongs to.
     ///
     /// # Errors
     ///
-    /// Fails when it cannot be written and synced.
+    /// Fails if the identity cannot be written and synced.
     pub fn store_identity(&self, identity: &FolderIdentity) -> anyhow::Result<()> {
         identity::write(&self.path, identity)
     }
 
-    /// Makes the folder one of a replica that starts with a snapshot, or with nothing.
+    /// Writes the first snapshot and a log without entries; the default snapshot is empty.
     ///
     /// # Errors
     ///
-    /// Fails when it cannot be written and synced.
+    /// Fails if the files cannot be written and synced.
     pub fn initialise(&mut self, hard_state: HardState, snapshot: &ReplicaSnapshot) -> anyhow::Result<()> {
         self.replace(hard_state, snapshot, &[])
     }
 
-    /// Reads snapshot and log.
+    /// Loads the snapshot and the log.
     ///
     /// # Errors
     ///
-    /// Fails, naming file and place, when either is damaged or missing. Only an unfinished last write is cut off.
+    /// Fails if either file is corrupt or missing; the error names the file and, for a corrupt log record, its offset.
+    /// An incomplete last write is truncated instead.
     pub fn load(&mut self) -> anyhow::Result<StoredReplica> {
         let snapshot = snapshot_file::read(&self.path)?;
         let (log, content) = LogFile::open(&self.path)?;
@@ -113,8 +114,8 @@
             );
         }
         let mut log = ReplicaLog::after_snapshot(index, term, members);
-        // A crash between storing a snapshot from the leader and replacing the log leaves entries behind that may
-        // not follow the snapshot. They do if the log agrees with the snapshot where it ends.
+        // After a crash between storing the leader's snapshot and replacing the log, the log may contain entries that
+        // do not follow the snapshot. They follow it if the log has the snapshot's term at the snapshot's index.
         let follows = content.base == (index, term)
             || content
                 .entries
@@ -147,22 +148,22 @@
         })
     }
 
-    /// Adds a write to the log and syncs it.
+    /// Appends a record to the log and syncs it.
     ///
     /// # Errors
     ///
-    /// Fails when it cannot be written or synced. That is final: after a failed sync the system may have dropped the
-    /// data and still report the next sync as done, so the caller has to stop.
+    /// Fails if the record cannot be written or synced. The caller then has to stop, since after a failed sync the
+    /// operating system may have dropped the data and still report the next sync as successful.
     pub fn append(&mut self, hard_state: Option<HardState>, append: Option<&LogAppend>) -> anyhow::Result<()> {
         let log = self.log.as_mut().context("folder was not loaded")?;
         log.append(hard_state, append)
     }
 
-    /// Stores a snapshot and drops the log before it.
+    /// Stores a snapshot and replaces the log with the hard state and the `remaining` entries.
     ///
     /// # Errors
     ///
-    /// Fails when it cannot be written and synced.
+    /// Fails if the files cannot be written and synced.
     pub fn replace(
         &mut self,
         hard_state: HardState,
@@ -180,13 +181,13 @@
     }
 }
 
-/// Replaces a file by one with this content, header included.
+/// Replaces a file with a new one that consists of the file header and `content`.
 pub(super) fn replace_file(folder: &Path, name: &str, content: &[u8]) -> anyhow::Result<()> {
     let target = folder.join(name);
     let beside = folder.join(format!("{name}.new"));
     write_synced(&beside, content).with_context(|| format!("failed to write `{}`", beside.display()))?;
     std::fs::rename(&beside, &target).with_context(|| format!("failed to replace `{}`", target.display()))?;
-    // Without this the rename itself may be lost, and an older file would come back after a power loss.
+    // Without syncing the folder, a power loss may undo the rename and restore the old file.
     let folder_file = File::open(folder).and_then(|file| file.sync_all());
     folder_file.with_context(|| format!("failed to sync the folder `{}`", folder.display()))
 }
@@ -198,7 +199,7 @@
     file.sync_all()
 }
 
-/// Reads a whole file; nothing if there is none.
+/// Reads a file and returns `None` if it does not exist.
 pub(super) fn read_file(path: &Path) -> anyhow::Result<Option<Vec<u8>>> {
     match std::fs::read(path) {
         Ok(bytes) => Ok(Some(bytes)),
@@ -207,14 +208,14 @@
     }
 }
 
-/// Makes the folder of a replica that was removed one that waits for a new place, under a new number.
+/// Resets the identity of a removed replica's folder, so that the folder can join the group again under the id `disk`.
 ///
-/// One file is replaced, so a crash leaves the folder as it was or as it is to be; the old log is overwritten when the
-/// new place is granted.
+/// Only the identity file is replaced, so a crash leaves either the old or the new identity. The old log is overwritten
+/// when the group admits the folder.
 ///
 /// # Errors
 ///
-/// Fails when the file cannot be written and synced.
+/// Fails if the file cannot be written and synced.
 pub fn forget_replica(path: &Path, disk: DiskId) -> anyhow::Result<()> {
     let identity = FolderIdentity {
         group: 0,
--- a/crates/acacia-control/src/storage/identity.rs
+++ b/crates/acacia-control/src/storage/identity.rs
@@ -1,4 +1,4 @@
-//! Whom a data folder belongs to.
+//! Identity file: the group and the replica that a data folder belongs to.
 
 use std::path::Path;
 
@@ -12,14 +12,14 @@
 
 const FILE: &str = "identity";
 
-/// Which replica of which group a folder belongs to.
+/// Group and replica that a folder belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FolderIdentity {
     /// The group, drawn at random when it was formed; 0 until the folder is admitted.
     pub group: u64,
     /// The folder itself, drawn at random when it was first used.
     pub disk: DiskId,
-    /// The replica, once the group has admitted the folder.
+    /// Id of the replica, or `None` until the group admits the folder.
     pub replica: Option<ReplicaId>,
 }
 
@@ -34,7 +34,7 @@
 
 fn parse(bytes: &[u8]) -> anyhow::Result<FolderIdentity> {
     let ReadRecord::Whole(payload, _) = read_record(after_file_header(bytes)?, 0) else {
-        bail!("file is damaged");
+        bail!("file is corrupt");
     };
     let message = replica::Identity::decode(payload)?;
     let replica = (message.replica != 0).then_some(ReplicaId(message.replica));
--- a/crates/acacia-control/src/storage/log_file.rs
+++ b/crates/acacia-control/src/storage/log_file.rs
@@ -1,4 +1,4 @@
-//! The log: one record for each synced write.
+//! Log file, with one record per synced write.
 
 use std::fs::{File, OpenOptions};
 use std::io::{Seek, SeekFrom, Write};
@@ -15,7 +15,7 @@
 
 const FILE: &str = "log";
 
-/// What a log file held.
+/// Content of a log file.
 #[derive(Debug, Default)]
 pub(super) struct LogContent {
     pub(super) base: (LogIndex, Term),
@@ -24,7 +24,7 @@
     pub(super) torn_bytes: usize,
 }
 
-/// The open log file.
+/// Open log file.
 #[derive(Debug)]
 pub(super) struct LogFile {
     path: PathBuf,
@@ -32,7 +32,7 @@
 }
 
 impl LogFile {
-    /// Opens the log, reads it and cuts off an unfinished last write.
+    /// Opens the log, reads it and truncates an incomplete last write.
     pub(super) fn open(folder: &Path) -> anyhow::Result<(Self, LogContent)> {
         let path = folder.join(FILE);
         let bytes = read_file(&path)?.with_context(|| format!("`{}` is missing", path.display()))?;
@@ -42,14 +42,14 @@
         if content.torn_bytes > 0 {
             file.set_len(length as u64)
                 .and_then(|()| file.sync_all())
-                .context("failed to cut off a torn write")?;
+                .context("failed to truncate an incomplete write")?;
         }
         file.seek(SeekFrom::End(0))
-            .context("failed to go to the end of the log")?;
+            .context("failed to seek to the end of the log")?;
         Ok((Self { path, file }, content))
     }
 
-    /// Replaces the log by one that starts after a snapshot.
+    /// Replaces the log with one that contains `entries` and starts after the snapshot at `base`.
     pub(super) fn replace(
         folder: &Path,
         hard_state: HardState,
@@ -69,7 +69,7 @@
         Ok(Self::open(folder)?.0)
     }
 
-    /// Adds a record and syncs it.
+    /// Appends a record and syncs it.
     pub(super) fn append(&mut self, hard_state: Option<HardState>, append: Option<&LogAppend>) -> anyhow::Result<()> {
         let record = replica::LogRecord {
             base: None,
@@ -87,7 +87,7 @@
     }
 }
 
-/// Reads all records; returns what they amount to and where the last whole one ends.
+/// Parses all records and returns their combined content and the offset at which the last complete record ends.
 fn parse(bytes: &[u8]) -> anyhow::Result<(LogContent, usize)> {
     after_file_header(bytes)?;
     let mut content = LogContent::default();
@@ -104,11 +104,11 @@
                 content.torn_bytes = bytes.len() - place;
                 break;
             }
-            ReadRecord::Damaged => bail!("record at byte {place} is damaged; repair the disk of this host"),
+            ReadRecord::Damaged => bail!("record at byte {place} is corrupt; repair the disk of this host"),
         }
     }
     if place == FILE_HEADER {
-        bail!("log does not say where it starts");
+        bail!("log contains no complete record");
     }
     Ok((content, place))
 }
--- a/crates/acacia-control/src/storage/mod.rs
+++ b/crates/acacia-control/src/storage/mod.rs
@@ -1,14 +1,15 @@
-//! The data folder of one replica.
+//! Data folder of a replica.
 //!
-//! | file | holds |
+//! | file | content |
 //! |---|---|
-//! | `lock` | nothing; it is locked while a process uses the folder |
-//! | `identity` | which replica of which group the folder belongs to |
-//! | `snapshot` | the replicated state up to some entry |
-//! | `log` | term, vote and the entries after the snapshot, one record for each synced write |
+//! | `lock` | none; a process holds a lock on the file while it uses the folder |
+//! | `identity` | group and replica that the folder belongs to |
+//! | `snapshot` | replicated state up to a log entry |
+//! | `log` | term, vote and the entries after the snapshot, with one record per synced write |
 //!
-//! Files are replaced by writing a new one beside them, syncing it, renaming it and syncing the folder; the log also
-//! grows by records. Every file starts with a format version, and a newer one than this release knows is refused. What
+//! To replace a file, the new content is written to a temporary file and synced, the temporary file is renamed over the
+//! old file, and the folder is synced. New log entries are appended to `log` as records. Every file except `lock` has a
+//! header with the format version; a version that is newer than this release supports is rejected. What
 //! a crash may leave is set out in `docs/design/storage.md`, and `tests/storage.rs` crashes at every step.
 
 mod data_folder;
--- a/crates/acacia-control/src/storage/record.rs
+++ b/crates/acacia-control/src/storage/record.rs
@@ -1,20 +1,21 @@
-//! Records: bytes with a length and checksums, behind a file header with the format version.
+//! File header with the format version, and records with a length and checksums.
 
 use anyhow::bail;
 use crc32fast::hash;
 
-/// The first bytes of every file.
+/// First bytes of every file.
 const MAGIC: [u8; 4] = *b"ACBY";
-/// The format that this release writes, and the newest that it reads.
+/// Format version that this release writes, and the newest version that it can read.
 const FORMAT_VERSION: u32 = 1;
-/// The length of a file's header.
+/// Length of the file header in bytes.
 pub(super) const FILE_HEADER: usize = 8;
-/// Length of the payload, checksum of that length, checksum of the payload.
+/// Length of the record header in bytes: payload length, checksum of that length and checksum of the payload.
 const RECORD_HEADER: usize = 12;
-/// Disks write whole sectors; a write that power loss has cut short leaves whole sectors unwritten.
+/// Size of a disk sector in bytes. Disks write whole sectors, so a power loss during a write leaves whole sectors
+/// unwritten.
 const SECTOR: usize = 512;
 
-/// Returns the header that every file starts with.
+/// Returns the file header.
 pub(super) fn file_header() -> [u8; FILE_HEADER] {
     let mut header = [0; FILE_HEADER];
     header[..4].copy_from_slice(&MAGIC);
@@ -22,22 +23,22 @@
     header
 }
 
-/// Checks a file's header and returns what follows it.
+/// Checks the file header and returns the bytes after it.
 pub(super) fn after_file_header(bytes: &[u8]) -> anyhow::Result<&[u8]> {
     let Some((header, rest)) = bytes.split_at_checked(FILE_HEADER) else {
         bail!("file is shorter than its header");
     };
     if header[..4] != MAGIC {
-        bail!("file does not start as a file of this program");
+        bail!("file does not start with `ACBY`");
     }
     let version = u32::from_le_bytes([header[4], header[5], header[6], header[7]]);
     if version > FORMAT_VERSION {
-        bail!("file has format {version}, and this release reads up to {FORMAT_VERSION}; use a newer release");
+        bail!("file has format {version}, but this release reads formats up to {FORMAT_VERSION}; use a newer release");
     }
     Ok(rest)
 }
 
-/// Returns a payload as a record.
+/// Encodes a payload as a record.
 pub(super) fn encode_record(payload: &[u8]) -> anyhow::Result<Vec<u8>> {
     let length = u32::try_from(payload.len())?.to_le_bytes();
     let mut record = Vec::with_capacity(RECORD_HEADER + payload.len());
@@ -48,24 +49,24 @@
     Ok(record)
 }
 
-/// What stands at a place of a file.
+/// Result of reading a record.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum ReadRecord<'file> {
-    /// A whole record, and where the next one starts.
+    /// Payload of a complete record, and the offset of the next record.
     Whole(&'file [u8], usize),
-    /// The end of the file.
+    /// End of the file.
     End,
-    /// A last write that did not come through; it was never confirmed to anyone.
+    /// Incomplete last write, which was never acknowledged.
     Torn,
-    /// Bytes that were once right and have changed.
+    /// Bytes that do not match their checksum although their write was complete.
     Damaged,
 }
 
 /// Reads the record that starts at `place`.
 ///
-/// Cutting off a damaged record as if it were torn would drop entries that this replica has confirmed, and the group
-/// could lose what it accepted. So a tail counts as torn only where it looks like an unfinished write: it ends before
-/// its length, or whole sectors of it were never written.
+/// If a corrupt record were truncated as a torn write, entries that this replica has acknowledged would be dropped, and
+/// the group could lose committed entries. So the end of the file counts as torn only if it looks like an incomplete
+/// write: either the file ends before the record does, or the unwritten sectors read as zeros.
 pub(super) fn read_record(bytes: &[u8], place: usize) -> ReadRecord<'_> {
     let rest = &bytes[place..];
     if rest.is_empty() {
--- a/crates/acacia-control/src/storage/snapshot_file.rs
+++ b/crates/acacia-control/src/storage/snapshot_file.rs
@@ -1,4 +1,4 @@
-//! The snapshot of the replicated state.
+//! Snapshot file: the replicated state up to a log entry.
 
 use std::path::Path;
 
@@ -19,10 +19,10 @@
     parse(&bytes).with_context(|| format!("failed to read `{}`", path.display()))
 }
 
-/// A snapshot is renamed into place only when it is whole, so anything but a whole record is damage.
+/// Parses the file. Anything but a complete record is corruption, since a snapshot is complete before it is renamed.
 fn parse(bytes: &[u8]) -> anyhow::Result<ReplicaSnapshot> {
     let ReadRecord::Whole(payload, _) = read_record(after_file_header(bytes)?, 0) else {
-        bail!("file is damaged");
+        bail!("file is corrupt");
     };
     Ok(snapshot_from_wire(replica::Snapshot::decode(payload)?))
 }
