--- a/crates/acacia-control/src/serving/start.rs
+++ b/crates/acacia-control/src/serving/start.rs
@@ -30,7 +30,7 @@
 use crate::driver::{DriverParts, GroupDriver, spawn_driver};
 use crate::group::{GroupHandle, GroupInput, GroupShared};
 use crate::peer_links::PeerLinks;
-use crate::storage::{DataFolder, FolderIdentity, forget_replica};
+use crate::storage::{DataFolder, FolderIdentity, reset_identity};
 
 /// After how long without a leader a replica asks whether it still belongs to the group.
 const LONELY_TIME: Duration = Duration::from_secs(2);
@@ -244,6 +244,6 @@
 /// Empties the folder of a replica that the group has removed, so that the next start asks for a new place.
 fn forget_group(hub: &ServingHub) -> anyhow::Result<()> {
     slog::warn!(hub.log, "removed from the group"; "event" => event::IDENTITY_REVOKED);
-    forget_replica(&hub.settings.data_folder, DiskId(random_number()?))?;
+    reset_identity(&hub.settings.data_folder, DiskId(random_number()?))?;
     anyhow::bail!("the group has removed this replica; the next start asks for a new place")
 }
--- a/crates/acacia-control/src/storage/data_folder.rs
+++ b/crates/acacia-control/src/storage/data_folder.rs
@@ -116,7 +116,7 @@
         let mut log = ReplicaLog::after_snapshot(index, term, members);
         // After a crash between storing the leader's snapshot and replacing the log, the log may contain entries that
         // do not follow the snapshot. They follow it if the log has the snapshot's term at the snapshot's index.
-        let follows = content.base == (index, term)
+        let log_follows_snapshot = content.base == (index, term)
             || content
                 .entries
                 .iter()
@@ -124,7 +124,7 @@
         let entries = content
             .entries
             .into_iter()
-            .filter(|entry| follows && entry.index > index);
+            .filter(|entry| log_follows_snapshot && entry.index > index);
         let entries: Vec<LogEntry> = entries.collect();
         if content.base != (index, term) {
             self.log = Some(LogFile::replace(
@@ -184,12 +184,12 @@
 /// Replaces a file with a new one that consists of the file header and `content`.
 pub(super) fn replace_file(folder: &Path, name: &str, content: &[u8]) -> anyhow::Result<()> {
     let target = folder.join(name);
-    let beside = folder.join(format!("{name}.new"));
-    write_synced(&beside, content).with_context(|| format!("failed to write `{}`", beside.display()))?;
-    std::fs::rename(&beside, &target).with_context(|| format!("failed to replace `{}`", target.display()))?;
+    let temporary = folder.join(format!("{name}.new"));
+    write_synced(&temporary, content).with_context(|| format!("failed to write `{}`", temporary.display()))?;
+    std::fs::rename(&temporary, &target).with_context(|| format!("failed to replace `{}`", target.display()))?;
     // Without syncing the folder, a power loss may undo the rename and restore the old file.
-    let folder_file = File::open(folder).and_then(|file| file.sync_all());
-    folder_file.with_context(|| format!("failed to sync the folder `{}`", folder.display()))
+    let synced = File::open(folder).and_then(|file| file.sync_all());
+    synced.with_context(|| format!("failed to sync the folder `{}`", folder.display()))
 }
 
 fn write_synced(path: &Path, content: &[u8]) -> std::io::Result<()> {
@@ -216,7 +216,7 @@
 /// # Errors
 ///
 /// Fails if the file cannot be written and synced.
-pub fn forget_replica(path: &Path, disk: DiskId) -> anyhow::Result<()> {
+pub fn reset_identity(path: &Path, disk: DiskId) -> anyhow::Result<()> {
     let identity = FolderIdentity {
         group: 0,
         disk,
--- a/crates/acacia-control/src/storage/identity.rs
+++ b/crates/acacia-control/src/storage/identity.rs
@@ -8,9 +8,9 @@
 use prost::Message;
 
 use super::data_folder::{read_file, replace_file};
-use super::record::{ReadRecord, after_file_header, encode_record, read_record};
+use super::record::{ReadRecord, encode_record, read_record, strip_file_header};
 
-const FILE: &str = "identity";
+const FILE_NAME: &str = "identity";
 
 /// Group and replica that a folder belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,7 +24,7 @@
 }
 
 pub(super) fn read(folder: &Path) -> anyhow::Result<Option<FolderIdentity>> {
-    let path = folder.join(FILE);
+    let path = folder.join(FILE_NAME);
     let Some(bytes) = read_file(&path)? else {
         return Ok(None);
     };
@@ -33,7 +33,7 @@
 }
 
 fn parse(bytes: &[u8]) -> anyhow::Result<FolderIdentity> {
-    let ReadRecord::Whole(payload, _) = read_record(after_file_header(bytes)?, 0) else {
+    let ReadRecord::Complete(payload, _) = read_record(strip_file_header(bytes)?, 0) else {
         bail!("file is corrupt");
     };
     let message = replica::Identity::decode(payload)?;
@@ -51,5 +51,5 @@
         disk: identity.disk.0,
         replica: identity.replica.map_or(0, |replica| replica.0),
     };
-    replace_file(folder, FILE, &encode_record(&message.encode_to_vec())?)
+    replace_file(folder, FILE_NAME, &encode_record(&message.encode_to_vec())?)
 }
--- a/crates/acacia-control/src/storage/log_file.rs
+++ b/crates/acacia-control/src/storage/log_file.rs
@@ -11,9 +11,9 @@
 use prost::Message;
 
 use super::data_folder::{read_file, replace_file};
-use super::record::{FILE_HEADER, ReadRecord, after_file_header, encode_record, read_record};
+use super::record::{FILE_HEADER_LEN, ReadRecord, encode_record, read_record, strip_file_header};
 
-const FILE: &str = "log";
+const FILE_NAME: &str = "log";
 
 /// Content of a log file.
 #[derive(Debug, Default)]
@@ -34,7 +34,7 @@
 impl LogFile {
     /// Opens the log, reads it and truncates an incomplete last write.
     pub(super) fn open(folder: &Path) -> anyhow::Result<(Self, LogContent)> {
-        let path = folder.join(FILE);
+        let path = folder.join(FILE_NAME);
         let bytes = read_file(&path)?.with_context(|| format!("`{}` is missing", path.display()))?;
         let (content, length) = parse(&bytes).with_context(|| format!("failed to read `{}`", path.display()))?;
         let opened = OpenOptions::new().write(true).open(&path);
@@ -65,7 +65,7 @@
             first: 0,
             entries: entries.iter().map(entry_to_wire).collect(),
         };
-        replace_file(folder, FILE, &encode_record(&record.encode_to_vec())?)?;
+        replace_file(folder, FILE_NAME, &encode_record(&record.encode_to_vec())?)?;
         Ok(Self::open(folder)?.0)
     }
 
@@ -89,31 +89,31 @@
 
 /// Parses all records and returns their combined content and the offset at which the last complete record ends.
 fn parse(bytes: &[u8]) -> anyhow::Result<(LogContent, usize)> {
-    after_file_header(bytes)?;
+    strip_file_header(bytes)?;
     let mut content = LogContent::default();
-    let mut place = FILE_HEADER;
+    let mut offset = FILE_HEADER_LEN;
     loop {
-        match read_record(bytes, place) {
-            ReadRecord::Whole(payload, next) => {
+        match read_record(bytes, offset) {
+            ReadRecord::Complete(payload, next) => {
                 let record = replica::LogRecord::decode(payload)?;
-                take_record(&mut content, record).with_context(|| format!("in the record at byte {place}"))?;
-                place = next;
+                apply_record(&mut content, record).with_context(|| format!("in the record at byte {offset}"))?;
+                offset = next;
             }
             ReadRecord::End => break,
             ReadRecord::Torn => {
-                content.torn_bytes = bytes.len() - place;
+                content.torn_bytes = bytes.len() - offset;
                 break;
             }
-            ReadRecord::Damaged => bail!("record at byte {place} is corrupt; repair the disk of this host"),
+            ReadRecord::Corrupt => bail!("record at byte {offset} is corrupt; repair the disk of this host"),
         }
     }
-    if place == FILE_HEADER {
+    if offset == FILE_HEADER_LEN {
         bail!("log contains no complete record");
     }
-    Ok((content, place))
+    Ok((content, offset))
 }
 
-fn take_record(content: &mut LogContent, record: replica::LogRecord) -> anyhow::Result<()> {
+fn apply_record(content: &mut LogContent, record: replica::LogRecord) -> anyhow::Result<()> {
     if let Some(base) = record.base {
         content.base = (LogIndex(base.index), Term(base.term));
     }
--- a/crates/acacia-control/src/storage/mod.rs
+++ b/crates/acacia-control/src/storage/mod.rs
@@ -18,5 +18,5 @@
 mod record;
 mod snapshot_file;
 
-pub use data_folder::{DataFolder, StoredReplica, forget_replica};
+pub use data_folder::{DataFolder, StoredReplica, reset_identity};
 pub use identity::FolderIdentity;
--- a/crates/acacia-control/src/storage/record.rs
+++ b/crates/acacia-control/src/storage/record.rs
@@ -8,24 +8,24 @@
 /// Format version that this release writes, and the newest version that it can read.
 const FORMAT_VERSION: u32 = 1;
 /// Length of the file header in bytes.
-pub(super) const FILE_HEADER: usize = 8;
+pub(super) const FILE_HEADER_LEN: usize = 8;
 /// Length of the record header in bytes: payload length, checksum of that length and checksum of the payload.
-const RECORD_HEADER: usize = 12;
+const RECORD_HEADER_LEN: usize = 12;
 /// Size of a disk sector in bytes. Disks write whole sectors, so a power loss during a write leaves whole sectors
 /// unwritten.
-const SECTOR: usize = 512;
+const SECTOR_SIZE: usize = 512;
 
 /// Returns the file header.
-pub(super) fn file_header() -> [u8; FILE_HEADER] {
-    let mut header = [0; FILE_HEADER];
+pub(super) fn file_header() -> [u8; FILE_HEADER_LEN] {
+    let mut header = [0; FILE_HEADER_LEN];
     header[..4].copy_from_slice(&MAGIC);
     header[4..].copy_from_slice(&FORMAT_VERSION.to_le_bytes());
     header
 }
 
 /// Checks the file header and returns the bytes after it.
-pub(super) fn after_file_header(bytes: &[u8]) -> anyhow::Result<&[u8]> {
-    let Some((header, rest)) = bytes.split_at_checked(FILE_HEADER) else {
+pub(super) fn strip_file_header(bytes: &[u8]) -> anyhow::Result<&[u8]> {
+    let Some((header, rest)) = bytes.split_at_checked(FILE_HEADER_LEN) else {
         bail!("file is shorter than its header");
     };
     if header[..4] != MAGIC {
@@ -41,7 +41,7 @@
 /// Encodes a payload as a record.
 pub(super) fn encode_record(payload: &[u8]) -> anyhow::Result<Vec<u8>> {
     let length = u32::try_from(payload.len())?.to_le_bytes();
-    let mut record = Vec::with_capacity(RECORD_HEADER + payload.len());
+    let mut record = Vec::with_capacity(RECORD_HEADER_LEN + payload.len());
     record.extend_from_slice(&length);
     record.extend_from_slice(&hash(&length).to_le_bytes());
     record.extend_from_slice(&hash(payload).to_le_bytes());
@@ -53,57 +53,57 @@
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum ReadRecord<'file> {
     /// Payload of a complete record, and the offset of the next record.
-    Whole(&'file [u8], usize),
+    Complete(&'file [u8], usize),
     /// End of the file.
     End,
     /// Incomplete last write, which was never acknowledged.
     Torn,
     /// Bytes that do not match their checksum although their write was complete.
-    Damaged,
+    Corrupt,
 }
 
-/// Reads the record that starts at `place`.
+/// Reads the record that starts at `offset`.
 ///
 /// If a corrupt record were truncated as a torn write, entries that this replica has acknowledged would be dropped, and
 /// the group could lose committed entries. So the end of the file counts as torn only if it looks like an incomplete
 /// write: either the file ends before the record does, or the unwritten sectors read as zeros.
-pub(super) fn read_record(bytes: &[u8], place: usize) -> ReadRecord<'_> {
-    let rest = &bytes[place..];
+pub(super) fn read_record(bytes: &[u8], offset: usize) -> ReadRecord<'_> {
+    let rest = &bytes[offset..];
     if rest.is_empty() {
         return ReadRecord::End;
     }
-    let Some((header, after)) = rest.split_at_checked(RECORD_HEADER) else {
+    let Some((header, body)) = rest.split_at_checked(RECORD_HEADER_LEN) else {
         return ReadRecord::Torn;
     };
-    let word = |at: usize| [header[at], header[at + 1], header[at + 2], header[at + 3]];
-    let length = word(0);
-    if hash(&length) != u32::from_le_bytes(word(4)) {
-        return if is_unwritten(rest) {
+    let bytes_at = |at: usize| [header[at], header[at + 1], header[at + 2], header[at + 3]];
+    let length = bytes_at(0);
+    if hash(&length) != u32::from_le_bytes(bytes_at(4)) {
+        return if is_zeroed(rest) {
             ReadRecord::Torn
         } else {
-            ReadRecord::Damaged
+            ReadRecord::Corrupt
         };
     }
     let length = usize::try_from(u32::from_le_bytes(length)).unwrap_or(usize::MAX);
-    let Some((payload, behind)) = after.split_at_checked(length) else {
+    let Some((payload, trailing)) = body.split_at_checked(length) else {
         return ReadRecord::Torn;
     };
-    if hash(payload) == u32::from_le_bytes(word(8)) {
-        return ReadRecord::Whole(payload, place + RECORD_HEADER + length);
+    if hash(payload) == u32::from_le_bytes(bytes_at(8)) {
+        return ReadRecord::Complete(payload, offset + RECORD_HEADER_LEN + length);
     }
-    if behind.is_empty() && has_unwritten_sector(bytes, place) {
+    if trailing.is_empty() && has_zeroed_sector(bytes, offset) {
         ReadRecord::Torn
     } else {
-        ReadRecord::Damaged
+        ReadRecord::Corrupt
     }
 }
 
-fn is_unwritten(bytes: &[u8]) -> bool {
+fn is_zeroed(bytes: &[u8]) -> bool {
     bytes.iter().all(|byte| *byte == 0)
 }
 
-fn has_unwritten_sector(bytes: &[u8], place: usize) -> bool {
-    let first = place.next_multiple_of(SECTOR);
-    let sectors = bytes.get(first..).unwrap_or_default().chunks(SECTOR);
-    sectors.into_iter().any(is_unwritten)
+fn has_zeroed_sector(bytes: &[u8], offset: usize) -> bool {
+    let first_sector = offset.next_multiple_of(SECTOR_SIZE);
+    let sectors = bytes.get(first_sector..).unwrap_or_default().chunks(SECTOR_SIZE);
+    sectors.into_iter().any(is_zeroed)
 }
