--- a/crates/acacia-control/src/driver/members.rs
+++ b/crates/acacia-control/src/driver/members.rs
@@ -1,4 +1,4 @@
-//! Hosts that ask for their place in the group, and voters that give theirs up.
+//! Membership changes: hosts that join the group, and voters that are replaced.
 
 use acacia_runtime::clock::boot_now;
 use acacia_runtime::event;
@@ -11,7 +11,9 @@
 use crate::group::{JoinAnswer, JoinCall};
 
 impl GroupDriver {
-    /// Binds a member to the data folder that its host has come with, or says why not.
+    /// Binds a member to the data folder of its host, or answers with the reason for a refusal.
+    ///
+    /// The reason is empty if this replica is not the leader.
     pub(super) fn identify(
         &mut self,
         host: &HostName,
@@ -35,7 +37,8 @@
             }
             Some((replica, None)) => match self.replica.change_members(MemberChange::Bind { replica, disk }) {
                 Ok((index, _)) => {
-                    // Answered once it is committed: before that, another leader may bind another folder.
+                    // The answer is sent once the change is committed. Before that, another leader could bind the
+                    // member to a different folder.
                     self.identifies.insert(index, (replica, answer));
                     return;
                 }
@@ -45,10 +48,11 @@
         let _gave_up = answer.send(Err(refusal));
     }
 
-    /// Brings a host that asks for its place one step nearer to it; the host asks until it has it.
+    /// Answers a join request and proposes the next membership change that it needs; the host repeats the request until
+    /// it is a member.
     ///
-    /// A host whose folder is not the one that its member is bound to has lost its disk. Its member is removed first:
-    /// under its old number it would confirm entries that it has forgotten.
+    /// If the host's member is bound to a different folder, the host has lost its disk. That member is removed first,
+    /// because under its old id the host would acknowledge entries that it no longer has.
     pub(super) fn answer_join(&mut self, request: JoinCall) -> JoinAnswer {
         if !self.replica.may_act(boot_now()) {
             return JoinAnswer::Elsewhere(self.not_leading());
@@ -99,18 +103,18 @@
         let text = format!("{change:?}");
         match self.replica.change_members(change) {
             Ok(_) => {
-                slog::info!(self.log, "member change proposed"; "event" => event::MEMBERS_CHANGED,
+                slog::info!(self.log, "membership change proposed"; "event" => event::MEMBERS_CHANGED,
                     "change" => text, "reason" => reason);
             }
             Err(refusal) => {
-                slog::warn!(self.log, "member change refused"; "event" => event::MEMBERS_CHANGED,
+                slog::warn!(self.log, "membership change refused"; "event" => event::MEMBERS_CHANGED,
                     "change" => text, "reason" => describe_refusal(&refusal));
             }
         }
     }
 }
 
-/// Says why a change of the members was refused.
+/// Describes why a membership change was refused.
 pub(crate) fn describe_refusal(refusal: &MemberChangeError) -> String {
     match refusal {
         MemberChangeError::NotLeader(_) => "this replica does not lead".to_owned(),
--- a/crates/acacia-control/src/driver/mod.rs
+++ b/crates/acacia-control/src/driver/mod.rs
@@ -1,8 +1,8 @@
-//! The thread that drives the replica: it does what [`Replica`] asks for, in the order that it asks for.
+//! Thread that drives the replica: it carries out the work that [`Replica`] returns, in the required order.
 //!
-//! It is a thread of its own because it waits for the disk. While it does, inputs collect, and all of them go into the
-//! next write together; that is what makes many writers cheap (`docs/BENCHMARKS.md`). [`members`] has its part in changes of
-//! the members, [`space`] what it does while the disk is full.
+//! The driver has its own thread because it blocks on disk writes. Inputs that arrive during a write are batched into
+//! the next one, which makes many concurrent writers cheap (`docs/BENCHMARKS.md`). [`members`] handles membership
+//! changes, and [`space`] handles a full disk.
 
 mod members;
 mod space;
@@ -33,16 +33,16 @@
 
 pub(crate) use members::describe_refusal;
 
-/// How often time passes for the replica.
+/// Interval at which the replica's time advances.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 /// Most inputs that go into one write.
 const MOST_INPUTS: usize = 4_096;
-/// After how many applied entries the log is replaced by a snapshot.
+/// Number of applied log entries after which a snapshot replaces them.
 const SNAPSHOT_ENTRIES: u64 = 10_000;
-/// After how many bytes of applied commands the log is replaced by a snapshot.
+/// Size in bytes of the applied commands after which a snapshot replaces them in the log.
 const SNAPSHOT_BYTES: usize = 32 * 1024 * 1024;
 
-/// Everything that the thread owns.
+/// State of the driver thread.
 #[derive(Debug)]
 pub(crate) struct GroupDriver {
     replica: Replica,
@@ -60,7 +60,7 @@
     policy: QuorumPolicy,
 }
 
-/// What a driver is made of.
+/// Components from which a driver is created.
 #[derive(Debug)]
 pub(crate) struct DriverParts {
     pub(crate) id: ReplicaId,
@@ -68,12 +68,12 @@
     pub(crate) inputs: Receiver<GroupInput>,
     pub(crate) links: PeerLinks,
     pub(crate) log: Logger,
-    /// How many copies and voters there are to be.
+    /// Minimum number of copies of an entry and maximum number of voters.
     pub(crate) policy: QuorumPolicy,
 }
 
 impl GroupDriver {
-    /// Restores a replica from its folder.
+    /// Restores the replica from its data folder.
     pub(crate) fn open(mut folder: DataFolder, parts: DriverParts, now: BootTime, seed: u64) -> anyhow::Result<Self> {
         let DriverParts {
             id,
@@ -85,9 +85,9 @@
         } = parts;
         let stored = folder.load()?;
         if stored.torn_bytes > 0 {
-            slog::warn!(log, "torn tail cut off"; "event" => event::TAIL_CUT, "bytes" => stored.torn_bytes);
+            slog::warn!(log, "incomplete last record truncated"; "event" => event::TAIL_CUT, "bytes" => stored.torn_bytes);
         }
-        let state = state_of(&stored.snapshot).context("snapshot holds a state that this release cannot read")?;
+        let state = state_of(&stored.snapshot).context("snapshot contains a state that this release cannot read")?;
         shared.version.send_replace(state.version());
         shared.serving.send_replace(state.serving.config_number);
         *shared.state.write() = state;
@@ -108,11 +108,13 @@
         })
     }
 
-    /// Runs until it is told to stop.
+    /// Runs until it receives [`GroupInput::Stop`] or all senders are dropped.
     ///
     /// # Errors
     ///
-    /// Fails when the disk fails; the process then has to stop, since what it has confirmed may not be there.
+    /// Fails if the disk fails. The process then has to stop, since entries that it has acknowledged may not be stored.
+    ///
+    /// A full disk is no failure: the driver waits until there is space again.
     pub(crate) fn run(mut self) -> anyhow::Result<()> {
         let mut next_tick = Instant::now();
         loop {
@@ -143,7 +145,7 @@
         }
     }
 
-    /// Takes an input and all that have come since; returns whether to stop.
+    /// Handles an input and those queued behind it; returns true if the driver has to stop.
     fn take_inputs(&mut self, first: GroupInput) -> bool {
         let mut next = Some(first);
         for _ in 0..MOST_INPUTS {
@@ -185,7 +187,7 @@
         }
     }
 
-    /// Does what the replica wants done until it wants nothing more.
+    /// Carries out the replica's pending work until there is none left.
     fn work_off(&mut self) -> anyhow::Result<()> {
         loop {
             let output = self.replica.take_output();
@@ -229,7 +231,7 @@
     }
 
     fn install(&mut self, snapshot: &ReplicaSnapshot) -> anyhow::Result<()> {
-        let state = state_of(snapshot).context("leader sent a state that this release cannot read")?;
+        let state = state_of(snapshot).context("leader sent a snapshot with a state that this release cannot read")?;
         self.folder.replace(self.hard_state, snapshot, &[])?;
         self.shared.version.send_replace(state.version());
         let number = state.serving.config_number;
@@ -252,8 +254,8 @@
                     EntryPayload::Command(bytes) => {
                         self.applied_bytes += bytes.len();
                         let command = command_from_bytes(bytes);
-                        // Skipping it would let this replica's state differ from the others'.
-                        let command = command.with_context(|| format!("entry {} cannot be read", index.0))?;
+                        // Skipping the entry would make the state of this replica diverge from that of the others.
+                        let command = command.with_context(|| format!("failed to decode entry {}", index.0))?;
                         Some(state.apply(&command))
                     }
                     EntryPayload::Empty => None,
@@ -330,7 +332,8 @@
         }
     }
 
-    /// Shows the tasks what has changed, and answers those whose proposals another leader now decides about.
+    /// Publishes the replica's status. Without leadership, it also rejects the pending proposals, which now depend on
+    /// another leader.
     fn show_status(&mut self) {
         self.shared.set_lease(self.replica.lease_until());
         let leads = self.replica.role() == ReplicaRole::Leader;
@@ -382,7 +385,7 @@
     Ok(state_from_bytes(snapshot.state.clone())?)
 }
 
-/// Runs the driver on a thread; when it fails, the whole process is told to stop.
+/// Runs the driver on its own thread and cancels `stop` when it ends.
 pub(crate) fn spawn_driver(
     driver: GroupDriver,
     stop: CancellationToken,
@@ -391,7 +394,7 @@
     tokio::task::spawn_blocking(move || {
         let outcome = driver.run();
         if let Err(error) = &outcome {
-            slog::error!(log, "replica stops"; "event" => event::FATAL, "error" => format!("{error:#}"));
+            slog::error!(log, "replica failed"; "event" => event::FATAL, "error" => format!("{error:#}"));
         }
         stop.cancel();
         outcome
--- a/crates/acacia-control/src/driver/space.rs
+++ b/crates/acacia-control/src/driver/space.rs
@@ -1,4 +1,4 @@
-//! What the thread does while the disk takes no more bytes.
+//! Pause and restart of the replica while the disk is full.
 
 use std::io::ErrorKind;
 use std::sync::mpsc::RecvTimeoutError;
@@ -14,20 +14,26 @@
 use crate::daemon::random_number;
 use crate::group::{GroupInput, nobody};
 
-/// How often a full disk is tried again.
+/// Interval between attempts to write to a full disk.
 const SPACE_INTERVAL: Duration = Duration::from_millis(300);
 
 impl GroupDriver {
-    /// Waits until the disk takes bytes again, then starts over from what it holds; returns whether to go on.
+    /// Waits until the disk accepts writes again and restarts the replica from its folder; returns false if the driver
+    /// has to stop.
     ///
-    /// A full disk refuses a write and loses nothing. Ending the process would end it again at each start until there is
-    /// space, and would take the process's other work with it: endpoints report here, entries hear of them here. What
-    /// was half written is cut off when the folder is read again, and the replica is as after a restart.
+    /// A full disk rejects a write without losing stored data. If the process exited instead, it would exit again at
+    /// each start until there is space, and its other work would stop too: endpoints report to this process, and entries
+    /// learn of endpoints from it. Reloading the folder truncates the incomplete write, and leaves the replica in the
+    /// same state as a restart of the process.
+    ///
+    /// # Errors
+    ///
+    /// Fails if `error` or a later one has a cause other than a full disk.
     pub(super) fn await_space(&mut self, error: &anyhow::Error) -> anyhow::Result<bool> {
         if !is_disk_full(error) {
             return Err(anyhow::anyhow!("{error:#}"));
         }
-        slog::error!(self.log, "disk is full; this replica pauses"; "event" => event::DISK_FULL,
+        slog::error!(self.log, "disk is full; replica paused"; "event" => event::DISK_FULL,
             "error" => format!("{error:#}"));
         self.leave_group();
         loop {
@@ -36,17 +42,17 @@
             }
             match self.start_over() {
                 Ok(()) => {
-                    slog::info!(self.log, "disk takes bytes again"; "event" => event::DISK_FULL,
+                    slog::info!(self.log, "disk has space again; replica restarted"; "event" => event::DISK_FULL,
                         "index" => self.replica.log().last_index().0);
                     return Ok(true);
                 }
                 Err(error) if is_disk_full(&error) => {}
-                Err(error) => return Err(error.context("failed to start over after the disk was full")),
+                Err(error) => return Err(error.context("failed to restart the replica after the disk was full")),
             }
         }
     }
 
-    /// Shows the tasks that this replica neither leads nor follows.
+    /// Publishes that this replica neither leads nor knows a leader, and rejects the pending requests.
     fn leave_group(&mut self) {
         self.shared.set_lease(BootTime::default());
         self.leading_since = None;
@@ -61,7 +67,7 @@
         self.confirms.clear();
     }
 
-    /// Refuses what is asked for within a while; returns whether to stop.
+    /// Rejects all inputs that arrive within `patience`; returns true if the driver has to stop.
     fn refuse_inputs(&self, patience: Duration) -> bool {
         let until = Instant::now() + patience;
         loop {
@@ -74,17 +80,17 @@
                 Ok(GroupInput::Propose { answer, .. }) => {
                     let _gave_up = answer.sender.send(Err(nobody()));
                 }
-                // Whoever waits for an answer to any of the others learns of it by the dropped sender.
+                // Dropping an input drops its sender, which tells the receiver that there will be no answer.
                 Ok(_dropped) => {}
             }
         }
     }
 
-    /// Reads the folder again, tries a write, and starts the replica anew.
+    /// Reloads the folder, checks that it can be written, and creates the replica anew.
     fn start_over(&mut self) -> anyhow::Result<()> {
         let stored = self.folder.load()?;
         self.folder.append(Some(stored.restored.hard_state), None)?;
-        let state = state_of(&stored.snapshot).context("snapshot holds a state that this release cannot read")?;
+        let state = state_of(&stored.snapshot).context("snapshot contains a state that this release cannot read")?;
         self.hard_state = stored.restored.hard_state;
         let replica = Replica::new(boot_now(), self.replica.id(), stored.restored, random_number()?);
         self.replica = replica.with_policy(self.policy);
@@ -95,7 +101,7 @@
     }
 }
 
-/// Tells whether a write failed because the disk has no space, which says nothing about what it holds already.
+/// Returns true if an operation failed because the disk or a quota is full, which does not affect data already stored.
 fn is_disk_full(error: &anyhow::Error) -> bool {
     let cause = error.chain().find_map(|cause| cause.downcast_ref::<std::io::Error>());
     cause.is_some_and(|cause| matches!(cause.kind(), ErrorKind::StorageFull | ErrorKind::QuotaExceeded))
