--- a/crates/acacia-control/src/driver/space.rs
+++ b/crates/acacia-control/src/driver/disk_full.rs
@@ -10,37 +10,37 @@
 use acaciabay::core::consensus::Replica;
 use anyhow::Context;
 
-use super::{GroupDriver, state_of};
+use super::{GroupDriver, decode_state};
 use crate::daemon::random_number;
 use crate::group::{GroupInput, nobody};
 
 /// Interval between attempts to write to a full disk.
-const SPACE_INTERVAL: Duration = Duration::from_millis(300);
+const RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
 impl GroupDriver {
     /// Waits until the disk accepts writes again and restarts the replica from its folder; returns false if the driver
     /// has to stop.
     ///
     /// A full disk rejects a write without losing stored data. If the process exited instead, it would exit again at
-    /// each start until there is space, and its other work would stop too: endpoints report to this process, and entries
+    /// each start until there is space. Its other work would stop too: endpoints report to this process, and entries
     /// learn of endpoints from it. Reloading the folder truncates the incomplete write, and leaves the replica in the
     /// same state as a restart of the process.
     ///
     /// # Errors
     ///
     /// Fails if `error` or a later one has a cause other than a full disk.
-    pub(super) fn await_space(&mut self, error: &anyhow::Error) -> anyhow::Result<bool> {
+    pub(super) fn wait_for_space(&mut self, error: &anyhow::Error) -> anyhow::Result<bool> {
         if !is_disk_full(error) {
             return Err(anyhow::anyhow!("{error:#}"));
         }
         slog::error!(self.log, "disk is full; replica paused"; "event" => event::DISK_FULL,
             "error" => format!("{error:#}"));
-        self.leave_group();
+        self.suspend();
         loop {
-            if self.refuse_inputs(SPACE_INTERVAL) {
+            if self.reject_inputs(RETRY_INTERVAL) {
                 return Ok(false);
             }
-            match self.start_over() {
+            match self.restart_replica() {
                 Ok(()) => {
                     slog::info!(self.log, "disk has space again; replica restarted"; "event" => event::DISK_FULL,
                         "index" => self.replica.log().last_index().0);
@@ -53,32 +53,32 @@
     }
 
     /// Publishes that this replica neither leads nor knows a leader, and rejects the pending requests.
-    fn leave_group(&mut self) {
+    fn suspend(&mut self) {
         self.shared.set_lease(BootTime::default());
         self.leading_since = None;
         self.shared.status.send_modify(|status| {
             status.leader = None;
             status.leading_since = None;
         });
-        for (_, (_, answer)) in std::mem::take(&mut self.waiting) {
-            let _gave_up = answer.sender.send(Err(nobody()));
+        for (_, (_, answer)) in std::mem::take(&mut self.pending_proposals) {
+            let _receiver_dropped = answer.sender.send(Err(nobody()));
         }
-        self.identifies.clear();
-        self.confirms.clear();
+        self.pending_binds.clear();
+        self.pending_confirmations.clear();
     }
 
-    /// Rejects all inputs that arrive within `patience`; returns true if the driver has to stop.
-    fn refuse_inputs(&self, patience: Duration) -> bool {
-        let until = Instant::now() + patience;
+    /// Rejects all inputs that arrive within `duration`; returns true if the driver has to stop.
+    fn reject_inputs(&self, duration: Duration) -> bool {
+        let deadline = Instant::now() + duration;
         loop {
             match self
                 .inputs
-                .recv_timeout(until.saturating_duration_since(Instant::now()))
+                .recv_timeout(deadline.saturating_duration_since(Instant::now()))
             {
                 Ok(GroupInput::Stop) | Err(RecvTimeoutError::Disconnected) => return true,
                 Err(RecvTimeoutError::Timeout) => return false,
                 Ok(GroupInput::Propose { answer, .. }) => {
-                    let _gave_up = answer.sender.send(Err(nobody()));
+                    let _receiver_dropped = answer.sender.send(Err(nobody()));
                 }
                 // Dropping an input drops its sender, which tells the receiver that there will be no answer.
                 Ok(_dropped) => {}
@@ -87,10 +87,11 @@
     }
 
     /// Reloads the folder, checks that it can be written, and creates the replica anew.
-    fn start_over(&mut self) -> anyhow::Result<()> {
+    fn restart_replica(&mut self) -> anyhow::Result<()> {
         let stored = self.folder.load()?;
         self.folder.append(Some(stored.restored.hard_state), None)?;
-        let state = state_of(&stored.snapshot).context("snapshot contains a state that this release cannot read")?;
+        let state =
+            decode_state(&stored.snapshot).context("snapshot contains a state that this release cannot read")?;
         self.hard_state = stored.restored.hard_state;
         let replica = Replica::new(boot_now(), self.replica.id(), stored.restored, random_number()?);
         self.replica = replica.with_policy(self.policy);
--- a/crates/acacia-control/src/driver/members.rs
+++ b/crates/acacia-control/src/driver/members.rs
@@ -20,16 +20,16 @@
         disk: DiskId,
         answer: oneshot::Sender<Result<ReplicaId, String>>,
     ) {
-        let found = self
+        let member = self
             .replica
             .members()
             .find_by_host(host)
             .map(|(id, row)| (id, row.disk));
-        let refusal = match found {
+        let refusal = match member {
             _ if self.replica.role() != ReplicaRole::Leader => String::new(),
             None => format!("host `{host}` is not a member; run `acacia members add`"),
             Some((id, Some(bound))) if bound == disk => {
-                let _gave_up = answer.send(Ok(id));
+                let _receiver_dropped = answer.send(Ok(id));
                 return;
             }
             Some((_, Some(_))) => {
@@ -39,13 +39,13 @@
                 Ok((index, _)) => {
                     // The answer is sent once the change is committed. Before that, another leader could bind the
                     // member to a different folder.
-                    self.identifies.insert(index, (replica, answer));
+                    self.pending_binds.insert(index, (replica, answer));
                     return;
                 }
-                Err(refusal) => describe_refusal(&refusal),
+                Err(refusal) => describe_change_error(&refusal),
             },
         };
-        let _gave_up = answer.send(Err(refusal));
+        let _receiver_dropped = answer.send(Err(refusal));
     }
 
     /// Answers a join request and proposes the next membership change that it needs; the host repeats the request until
@@ -73,12 +73,12 @@
                 Some(_) | None => JoinAnswer::Removed,
             };
         }
-        let found = self
+        let member = self
             .replica
             .members()
             .find_by_host(&host)
             .map(|(id, row)| (id, row.disk));
-        let change = match found {
+        let change = match member {
             Some((id, Some(bound))) if bound == disk => return JoinAnswer::Member(id),
             Some((replica, _)) => MemberChange::Remove { replica },
             None => MemberChange::Admit { host, address, disk },
@@ -89,12 +89,14 @@
 
     /// Removes a voter that is silent while another member could take its place.
     pub(super) fn replace_silent_voter(&mut self) {
-        let Some(wanted) = self.policy.max_voters else { return };
+        let Some(max_voters) = self.policy.max_voters else {
+            return;
+        };
         if self.replica.has_pending_change() || !self.replica.may_act(boot_now()) {
             return;
         }
         let voters = self.replica.members().voters().count();
-        if let Some(replica) = plan_members(&self.replica.followers(), voters, wanted) {
+        if let Some(replica) = plan_members(&self.replica.followers(), voters, max_voters) {
             self.change_members(MemberChange::Remove { replica }, "silent while a substitute waits");
         }
     }
@@ -108,14 +110,14 @@
             }
             Err(refusal) => {
                 slog::warn!(self.log, "membership change refused"; "event" => event::MEMBERS_CHANGED,
-                    "change" => text, "reason" => describe_refusal(&refusal));
+                    "change" => text, "reason" => describe_change_error(&refusal));
             }
         }
     }
 }
 
 /// Describes why a membership change was refused.
-pub(crate) fn describe_refusal(refusal: &MemberChangeError) -> String {
+pub(crate) fn describe_change_error(refusal: &MemberChangeError) -> String {
     match refusal {
         MemberChangeError::NotLeader(_) => "this replica does not lead".to_owned(),
         MemberChangeError::ChangePending => "the change before is not committed yet; try again".to_owned(),
--- a/crates/acacia-control/src/driver/mod.rs
+++ b/crates/acacia-control/src/driver/mod.rs
@@ -2,10 +2,10 @@
 //!
 //! The driver has its own thread because it blocks on disk writes. Inputs that arrive during a write are batched into
 //! the next one, which makes many concurrent writers cheap (`docs/BENCHMARKS.md`). [`members`] handles membership
-//! changes, and [`space`] handles a full disk.
+//! changes, and [`disk_full`] handles a full disk.
 
+mod disk_full;
 mod members;
-mod space;
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -31,7 +31,7 @@
 use crate::peer_links::PeerLinks;
 use crate::storage::DataFolder;
 
-pub(crate) use members::describe_refusal;
+pub(crate) use members::describe_change_error;
 
 /// Interval at which the replica's time advances.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
@@ -52,9 +52,9 @@
     inputs: Receiver<GroupInput>,
     links: PeerLinks,
     log: Logger,
-    waiting: BTreeMap<LogIndex, (Term, ProposalAnswer)>,
-    confirms: Vec<oneshot::Sender<Result<(), NotLeading>>>,
-    identifies: BTreeMap<LogIndex, (ReplicaId, oneshot::Sender<Result<ReplicaId, String>>)>,
+    pending_proposals: BTreeMap<LogIndex, (Term, ProposalAnswer)>,
+    pending_confirmations: Vec<oneshot::Sender<Result<(), NotLeading>>>,
+    pending_binds: BTreeMap<LogIndex, (ReplicaId, oneshot::Sender<Result<ReplicaId, String>>)>,
     leading_since: Option<BootTime>,
     applied_bytes: usize,
     policy: QuorumPolicy,
@@ -85,9 +85,10 @@
         } = parts;
         let stored = folder.load()?;
         if stored.torn_bytes > 0 {
-            slog::warn!(log, "incomplete last record truncated"; "event" => event::TAIL_CUT, "bytes" => stored.torn_bytes);
+            slog::warn!(log, "torn record truncated"; "event" => event::TAIL_CUT, "bytes" => stored.torn_bytes);
         }
-        let state = state_of(&stored.snapshot).context("snapshot contains a state that this release cannot read")?;
+        let state =
+            decode_state(&stored.snapshot).context("snapshot contains a state that this release cannot read")?;
         shared.version.send_replace(state.version());
         shared.serving.send_replace(state.serving.config_number);
         *shared.state.write() = state;
@@ -100,9 +101,9 @@
             inputs,
             links,
             log,
-            waiting: BTreeMap::new(),
-            confirms: Vec::new(),
-            identifies: BTreeMap::new(),
+            pending_proposals: BTreeMap::new(),
+            pending_confirmations: Vec::new(),
+            pending_binds: BTreeMap::new(),
             leading_since: None,
             applied_bytes: 0,
         })
@@ -123,7 +124,7 @@
                 .recv_timeout(next_tick.saturating_duration_since(Instant::now()))
             {
                 Ok(input) => {
-                    if self.take_inputs(input) {
+                    if self.handle_inputs(input) {
                         return Ok(());
                     }
                 }
@@ -135,70 +136,70 @@
                 self.replica.tick(boot_now());
                 self.replace_silent_voter();
             }
-            if let Err(error) = self.work_off()
-                && !self.await_space(&error)?
+            if let Err(error) = self.process_output()
+                && !self.wait_for_space(&error)?
             {
                 return Ok(());
             }
-            self.answer_confirms();
-            self.show_status();
+            self.answer_confirmations();
+            self.publish_status();
         }
     }
 
     /// Handles an input and those queued behind it; returns true if the driver has to stop.
-    fn take_inputs(&mut self, first: GroupInput) -> bool {
+    fn handle_inputs(&mut self, first: GroupInput) -> bool {
         let mut next = Some(first);
         for _ in 0..MOST_INPUTS {
             let Some(input) = next else { return false };
             if matches!(input, GroupInput::Stop) {
                 return true;
             }
-            self.take_input(input);
+            self.handle_input(input);
             next = self.inputs.try_recv().ok();
         }
         if let Some(input) = next {
-            self.take_input(input);
+            self.handle_input(input);
         }
         false
     }
 
-    fn take_input(&mut self, input: GroupInput) {
+    fn handle_input(&mut self, input: GroupInput) {
         match input {
             GroupInput::Propose { command, answer } => match self.replica.propose(command_to_bytes(&command)) {
                 Ok((term, index)) => {
-                    self.waiting.insert(index, (term, answer));
+                    self.pending_proposals.insert(index, (term, answer));
                 }
                 Err(_not_leader) => {
-                    let _gave_up = answer.sender.send(Err(self.not_leading()));
+                    let _receiver_dropped = answer.sender.send(Err(self.not_leading()));
                 }
             },
-            GroupInput::Confirm(answer) => self.confirms.push(answer),
+            GroupInput::Confirm(answer) => self.pending_confirmations.push(answer),
             GroupInput::Message(message) => self.replica.step(boot_now(), message),
             GroupInput::PeerConnected { replica, address } => self.links.open_for_caller(replica, &address),
             GroupInput::ChangeMembers { change, answer } => {
                 let changed = self.replica.change_members(change).map(|(_, replica)| replica);
-                let _gave_up = answer.send(changed);
+                let _receiver_dropped = answer.send(changed);
             }
             GroupInput::Identify { host, disk, answer } => self.identify(&host, disk, answer),
             GroupInput::Join { request, answer } => {
-                let _gave_up = answer.send(self.answer_join(request));
+                let _receiver_dropped = answer.send(self.answer_join(request));
             }
             GroupInput::Stop => {}
         }
     }
 
     /// Carries out the replica's pending work until there is none left.
-    fn work_off(&mut self) -> anyhow::Result<()> {
+    fn process_output(&mut self) -> anyhow::Result<()> {
         loop {
             let output = self.replica.take_output();
             if output == ReplicaOutput::default() {
                 return Ok(());
             }
-            self.carry_out(output)?;
+            self.perform(output)?;
         }
     }
 
-    fn carry_out(&mut self, output: ReplicaOutput) -> anyhow::Result<()> {
+    fn perform(&mut self, output: ReplicaOutput) -> anyhow::Result<()> {
         let ReplicaOutput {
             snapshot,
             hard_state,
@@ -213,7 +214,7 @@
         }
         self.hard_state = hard_state.unwrap_or(self.hard_state);
         if let Some(snapshot) = snapshot {
-            self.install(&snapshot)?;
+            self.install_snapshot(&snapshot)?;
         }
         if hard_state.is_some() || append.is_some() {
             self.folder.append(hard_state, append.as_ref())?;
@@ -223,15 +224,16 @@
             self.links.send(early_messages.iter());
         }
         self.links.send(messages.iter());
-        self.apply(committed)?;
+        self.apply_entries(committed)?;
         for to in needs_snapshot {
             self.send_snapshot(to);
         }
         self.compact_if_due()
     }
 
-    fn install(&mut self, snapshot: &ReplicaSnapshot) -> anyhow::Result<()> {
-        let state = state_of(snapshot).context("leader sent a snapshot with a state that this release cannot read")?;
+    fn install_snapshot(&mut self, snapshot: &ReplicaSnapshot) -> anyhow::Result<()> {
+        let state =
+            decode_state(snapshot).context("leader sent a snapshot with a state that this release cannot read")?;
         self.folder.replace(self.hard_state, snapshot, &[])?;
         self.shared.version.send_replace(state.version());
         let number = state.serving.config_number;
@@ -242,7 +244,7 @@
         Ok(())
     }
 
-    fn apply(&mut self, entries: Vec<LogEntry>) -> anyhow::Result<()> {
+    fn apply_entries(&mut self, entries: Vec<LogEntry>) -> anyhow::Result<()> {
         if entries.is_empty() {
             return Ok(());
         }
@@ -264,37 +266,37 @@
                         None
                     }
                 };
-                if let Some((proposed, answer)) = self.waiting.remove(&index) {
+                if let Some((proposed, answer)) = self.pending_proposals.remove(&index) {
                     let outcome = outcome.filter(|_| proposed == term);
                     answers.push((answer, outcome));
                 }
-                if let Some((replica, answer)) = self.identifies.remove(&index) {
-                    let _gave_up = answer.send(Ok(replica));
+                if let Some((replica, answer)) = self.pending_binds.remove(&index) {
+                    let _receiver_dropped = answer.send(Ok(replica));
                 }
             }
             self.shared.version.send_if_modified(|version| {
-                let newer = *version != state.version();
+                let changed = *version != state.version();
                 *version = state.version();
-                newer
+                changed
             });
             self.shared.serving.send_if_modified(|number| {
-                let newer = *number != state.serving.config_number;
+                let changed = *number != state.serving.config_number;
                 *number = state.serving.config_number;
-                newer
+                changed
             });
         }
         for (answer, outcome) in answers {
-            let _gave_up = answer.sender.send(outcome.ok_or_else(|| self.not_leading()));
+            let _receiver_dropped = answer.sender.send(outcome.ok_or_else(|| self.not_leading()));
         }
         Ok(())
     }
 
     fn send_snapshot(&mut self, to: ReplicaId) {
-        let snapshot = self.present_snapshot();
+        let snapshot = self.create_snapshot();
         self.replica.send_snapshot(to, snapshot);
     }
 
-    fn present_snapshot(&self) -> ReplicaSnapshot {
+    fn create_snapshot(&self) -> ReplicaSnapshot {
         let state = state_to_bytes(&self.shared.state.read());
         self.replica.snapshot_at_delivered(state)
     }
@@ -304,7 +306,7 @@
         if entries < SNAPSHOT_ENTRIES && self.applied_bytes < SNAPSHOT_BYTES {
             return Ok(());
         }
-        let snapshot = self.present_snapshot();
+        let snapshot = self.create_snapshot();
         self.replica.compact(snapshot.index);
         let remaining = self.replica.log().entries();
         self.folder.replace(self.hard_state, &snapshot, &remaining)?;
@@ -314,13 +316,13 @@
         Ok(())
     }
 
-    fn answer_confirms(&mut self) {
-        if self.confirms.is_empty() {
+    fn answer_confirmations(&mut self) {
+        if self.pending_confirmations.is_empty() {
             return;
         }
         let may_act = self.replica.may_act(boot_now());
-        for answer in std::mem::take(&mut self.confirms) {
-            let _gave_up = answer.send(if may_act { Ok(()) } else { Err(self.not_leading()) });
+        for answer in std::mem::take(&mut self.pending_confirmations) {
+            let _receiver_dropped = answer.send(if may_act { Ok(()) } else { Err(self.not_leading()) });
         }
     }
 
@@ -334,14 +336,14 @@
 
     /// Publishes the replica's status. Without leadership, it also rejects the pending proposals, which now depend on
     /// another leader.
-    fn show_status(&mut self) {
+    fn publish_status(&mut self) {
         self.shared.set_lease(self.replica.lease_until());
         let leads = self.replica.role() == ReplicaRole::Leader;
         if !leads {
-            for (_, (_, answer)) in std::mem::take(&mut self.waiting) {
-                let _gave_up = answer.sender.send(Err(self.not_leading()));
+            for (_, (_, answer)) in std::mem::take(&mut self.pending_proposals) {
+                let _receiver_dropped = answer.sender.send(Err(self.not_leading()));
             }
-            self.identifies.clear();
+            self.pending_binds.clear();
         }
         let may_act = self.replica.may_act(boot_now());
         self.leading_since = match self.leading_since {
@@ -378,7 +380,7 @@
     }
 }
 
-fn state_of(snapshot: &ReplicaSnapshot) -> anyhow::Result<ControlState> {
+fn decode_state(snapshot: &ReplicaSnapshot) -> anyhow::Result<ControlState> {
     if snapshot.state.is_empty() {
         return Ok(ControlState::default());
     }
--- a/crates/acacia-control/src/operator_members.rs
+++ b/crates/acacia-control/src/operator_members.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 
 use crate::daemon::Control;
-use crate::driver::describe_refusal;
+use crate::driver::describe_change_error;
 use crate::operator_api::{OperatorAnswer, OperatorRefusal, OperatorRequest};
 
 /// How long a change waits for the one before it.
@@ -126,6 +126,6 @@
             }
             .into()
         }
-        other => OperatorRefusal::new(StatusCode::CONFLICT, "member_refused", describe_refusal(other)),
+        other => OperatorRefusal::new(StatusCode::CONFLICT, "member_refused", describe_change_error(other)),
     }
 }
