--- a/crates/acacia-control/src/group.rs
+++ b/crates/acacia-control/src/group.rs
@@ -1,4 +1,4 @@
-//! Access to the replicated state from the daemon's tasks.
+//! Interface between the daemon's tasks and the driver thread: proposals, replicated state and replica status.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,35 +14,35 @@
 use parking_lot::{RwLock, RwLockReadGuard};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, oneshot, watch};
 
-/// Most commands that wait to be committed at once. Beyond it callers wait before they propose, so that a leader under
-/// more load than its disk takes does not fall behind with ever older work.
+/// Maximum number of commands that wait for their outcome. Further callers wait before they propose, so that a leader
+/// whose disk is overloaded does not build up an ever older backlog.
 const MOST_PROPOSALS: usize = 4_096;
 
-/// This replica does not lead, so it can neither change the state nor vouch for it.
+/// Error of a replica that does not lead, which can neither change the state nor confirm that it is the latest.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NotLeading {
-    /// The leader's peer address, empty while none is known.
+    /// Peer address of the leader, or an empty string if it is unknown.
     pub leader_address: String,
 }
 
-/// What a replica tells of itself.
+/// Status of a replica, as published by its driver.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GroupStatus {
-    /// This replica.
+    /// Id of this replica, or `None` until the driver has published its status.
     pub replica: Option<ReplicaId>,
-    /// Its term.
+    /// Current term of this replica.
     pub term: Term,
-    /// The leader that it knows of.
+    /// Leader, if this replica knows it.
     pub leader: Option<ReplicaId>,
-    /// When this replica became a leader that may act; nothing while it is none.
+    /// Time at which this replica, as the leader, could first act; `None` before that and while it does not lead.
     pub leading_since: Option<BootTime>,
-    /// The members as this replica knows them.
+    /// Members that this replica knows.
     pub members: MemberSet,
-    /// The last entry that it has applied.
+    /// Index of the last applied log entry.
     pub applied: u64,
 }
 
-/// What the tasks ask of the thread that drives the replica.
+/// Input of the driver thread.
 #[derive(Debug)]
 pub(crate) enum GroupInput {
     Propose {
@@ -71,38 +71,38 @@
     Stop,
 }
 
-/// A host asks to become a member by itself, or whether it still is one.
+/// Request of a host to become a member, or to learn whether it still is one.
 #[derive(Clone, Debug)]
 pub(crate) struct JoinCall {
     pub(crate) host: HostName,
     pub(crate) address: String,
     pub(crate) disk: DiskId,
-    /// The replica that the host's folder belongs to already.
+    /// Replica that the host's folder already belongs to, if any.
     pub(crate) replica: Option<ReplicaId>,
 }
 
-/// What a host is told that asks for its place.
+/// Answer to a host's join request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum JoinAnswer {
-    /// It is this member.
+    /// The host is this member.
     Member(ReplicaId),
-    /// Its folder's member was removed; the folder is of no more use.
+    /// The member that the folder belongs to was removed; the folder can no longer be used.
     Removed,
-    /// The change that it waits for is under way.
+    /// A membership change is pending; the host has to ask again.
     Open,
-    /// Another replica has to be asked.
+    /// This replica cannot answer; the host has to ask the leader.
     Elsewhere(NotLeading),
 }
 
-/// Where the outcome of a proposal goes.
+/// Sender for the outcome of a proposal.
 #[derive(Debug)]
 pub(crate) struct ProposalAnswer {
     pub(crate) sender: oneshot::Sender<Result<CommandOutcome, NotLeading>>,
-    /// Held until the outcome is known.
+    /// Semaphore permit that is held until the outcome is known.
     pub(crate) _permit: OwnedSemaphorePermit,
 }
 
-/// A command that has been handed over and whose outcome is awaited.
+/// Outcome of a submitted command, which may not be known yet.
 #[derive(Debug)]
 pub struct PendingOutcome {
     receiver: oneshot::Receiver<Result<CommandOutcome, NotLeading>>,
@@ -113,13 +113,13 @@
     ///
     /// # Errors
     ///
-    /// Fails when this replica does not lead (any more). The command may be committed all the same.
+    /// Fails if this replica does not lead, or no longer does. The command may be committed nevertheless.
     pub async fn outcome(self) -> Result<CommandOutcome, NotLeading> {
         self.receiver.await.unwrap_or_else(|_gone| Err(nobody()))
     }
 }
 
-/// Proposes commands to the group and reads its state.
+/// Handle for proposing commands to the group and reading its state.
 #[derive(Clone, Debug)]
 pub struct GroupHandle {
     inputs: Sender<GroupInput>,
@@ -128,15 +128,15 @@
     group: u64,
 }
 
-/// What the driving thread shows to the tasks.
+/// State that the driver thread shares with the tasks.
 #[derive(Debug, Default)]
 pub(crate) struct GroupShared {
     pub(crate) state: RwLock<ControlState>,
     pub(crate) version: watch::Sender<ConfigVersion>,
     pub(crate) status: watch::Sender<GroupStatus>,
-    /// The number of the configuration for calls by host and path.
+    /// Number of the configuration for calls by host and path.
     pub(crate) serving: watch::Sender<ConfigNumber>,
-    /// When the leader lease ends, in microseconds of the boot clock; 0 while this replica may not act.
+    /// End of the leader lease in microseconds of the boot clock, or 0 if this replica has no lease.
     lease_until: AtomicU64,
 }
 
@@ -161,12 +161,12 @@
         }
     }
 
-    /// Returns the number of the group.
+    /// Returns the id of the group.
     pub const fn group(&self) -> u64 {
         self.group
     }
 
-    /// Hands a command over; commands are proposed in the order in which this returns.
+    /// Submits a command to the driver. Commands are proposed in the order in which calls of this function return.
     pub async fn submit(&self, command: ControlCommand) -> PendingOutcome {
         let (sender, receiver) = oneshot::channel();
         if let Ok(permit) = Arc::clone(&self.permits).acquire_owned().await {
@@ -179,42 +179,43 @@
         PendingOutcome { receiver }
     }
 
-    /// Commits a command and returns what it came to.
+    /// Submits a command and returns its outcome once it is committed and applied.
     ///
     /// # Errors
     ///
-    /// Fails when this replica does not lead (any more). The command may be committed all the same.
+    /// Fails if this replica does not lead, or no longer does. The command may be committed nevertheless.
     pub async fn propose(&self, command: ControlCommand) -> Result<CommandOutcome, NotLeading> {
         self.submit(command).await.outcome().await
     }
 
-    /// Makes sure that this replica leads now, so that what it reads next is the latest committed state.
+    /// Confirms that this replica leads, so that a later [`read`](Self::read) returns the latest committed state.
     ///
     /// # Errors
     ///
-    /// Fails when this replica does not lead.
+    /// Fails if this replica does not lead.
     pub async fn confirm(&self) -> Result<(), NotLeading> {
         let (sender, receiver) = oneshot::channel();
         self.input(GroupInput::Confirm(sender));
         receiver.await.unwrap_or_else(|_gone| Err(nobody()))
     }
 
-    /// Changes the members and returns once the change is accepted by this leader.
+    /// Proposes a membership change and returns the id of the affected replica, without waiting for the commit.
     ///
     /// # Errors
     ///
-    /// Fails with the reason why the change is not allowed at present.
+    /// Fails if this replica does not lead, or if the change is not allowed at present.
     pub async fn change_members(&self, change: MemberChange) -> Result<ReplicaId, MemberChangeError> {
         let (answer, receiver) = oneshot::channel();
         self.input(GroupInput::ChangeMembers { change, answer });
         receiver.await.unwrap_or(Err(MemberChangeError::ChangePending))
     }
 
-    /// Finds the replica that a host with this data folder is to be.
+    /// Returns the replica that a host's data folder belongs to, and first binds the folder to the host's member if the
+    /// member is unbound.
     ///
     /// # Errors
     ///
-    /// Fails with the reason, for the operator of that host.
+    /// Fails with a reason for the operator of that host. The reason is empty if this replica does not lead.
     pub async fn identify(&self, host: HostName, disk: DiskId) -> Result<ReplicaId, String> {
         let (answer, receiver) = oneshot::channel();
         self.input(GroupInput::Identify { host, disk, answer });
@@ -223,46 +224,46 @@
             .unwrap_or_else(|_gone| Err("replica is stopping".to_owned()))
     }
 
-    /// Asks for a place in the group.
+    /// Asks the group to admit a host.
     pub(crate) async fn join(&self, request: JoinCall) -> JoinAnswer {
         let (answer, receiver) = oneshot::channel();
         self.input(GroupInput::Join { request, answer });
         receiver.await.unwrap_or_else(|_gone| JoinAnswer::Elsewhere(nobody()))
     }
 
-    /// Follows the number of the configuration for calls by host and path.
+    /// Subscribes to the number of the configuration for calls by host and path.
     pub fn serving_numbers(&self) -> watch::Receiver<ConfigNumber> {
         self.shared.serving.subscribe()
     }
 
-    /// Tells whether this replica may act for the group at `now`. Guards ask at the moment of writing.
+    /// Returns true if this replica holds the leader lease at `now`. Write guards check it immediately before a write.
     pub fn may_act(&self, now: BootTime) -> bool {
         now < self.shared.lease_until()
     }
 
-    /// Reads the state as far as this replica has applied it.
+    /// Returns a read lock on the state that this replica has applied.
     pub fn read(&self) -> RwLockReadGuard<'_, ControlState> {
         self.shared.state.read()
     }
 
-    /// Follows the version of the configuration.
+    /// Subscribes to the version of the configuration.
     pub fn versions(&self) -> watch::Receiver<ConfigVersion> {
         self.shared.version.subscribe()
     }
 
-    /// Follows the state of the replica.
+    /// Subscribes to the status of the replica.
     pub fn status(&self) -> watch::Receiver<GroupStatus> {
         self.shared.status.subscribe()
     }
 
     pub(crate) fn input(&self, input: GroupInput) {
-        // When the driving thread is gone, the process is stopping, and whoever waits for an answer learns that from
-        // its dropped sender.
+        // Sending fails if the driver has ended because the process is stopping. Dropping the input drops its sender,
+        // which tells the receiver that there will be no answer.
         let _stopping = self.inputs.send(input);
     }
 }
 
-/// The answer of a replica that knows no leader.
+/// Returns the error of a replica that knows no leader.
 pub(crate) const fn nobody() -> NotLeading {
     NotLeading {
         leader_address: String::new(),
--- a/crates/acacia-control/src/lib.rs
+++ b/crates/acacia-control/src/lib.rs
@@ -1,8 +1,8 @@
-//! The control daemon: one replica of the group that holds tables, keys, claims, usage and orders.
+//! Control daemon: a replica of the group that stores tables, keys, claims, usage and orders.
 //!
-//! [`start`] brings up its listeners: one for peers (entries and other replicas), one for operators, one for health
-//! and metrics. `driver` is the thread that owns the library's replica and the data folder ([`storage`]); every other
-//! task reaches it through a [`GroupHandle`]. The decisions are the library's; this crate turns frames and HTTP
+//! [`start`] opens three listeners: one for peers (entries and other replicas), one for operators, and one for health
+//! and metrics. The `driver` thread owns the consensus replica and the data folder ([`storage`]); all other tasks use
+//! it through a [`GroupHandle`]. The `acaciabay` library makes the decisions; this crate translates frames and HTTP
 //! requests into commands.
 
 mod daemon;
