--- a/crates/acacia-control/src/daemon.rs
+++ b/crates/acacia-control/src/daemon.rs
@@ -289,7 +289,7 @@
         let tasks = serve(&control, token, listeners, &stop, page);
         tasks.wait().await;
         slog::info!(control.log, "control stopping"; "event" => event::STOPPING);
-        control.group.input(GroupInput::Stop);
+        control.group.send_input(GroupInput::Stop);
         let outcome = driving.await.context("the driving thread failed")?;
         slog::info!(control.log, "control stopped"; "event" => event::STOPPED);
         outcome
--- a/crates/acacia-control/src/driver/disk_full.rs
+++ b/crates/acacia-control/src/driver/disk_full.rs
@@ -12,7 +12,7 @@
 
 use super::{GroupDriver, decode_state};
 use crate::daemon::random_number;
-use crate::group::{GroupInput, nobody};
+use crate::group::{GroupInput, no_known_leader};
 
 /// Interval between attempts to write to a full disk.
 const RETRY_INTERVAL: Duration = Duration::from_millis(300);
@@ -61,7 +61,7 @@
             status.leading_since = None;
         });
         for (_, (_, answer)) in std::mem::take(&mut self.pending_proposals) {
-            let _receiver_dropped = answer.sender.send(Err(nobody()));
+            let _receiver_dropped = answer.sender.send(Err(no_known_leader()));
         }
         self.pending_binds.clear();
         self.pending_confirmations.clear();
@@ -78,7 +78,7 @@
                 Ok(GroupInput::Stop) | Err(RecvTimeoutError::Disconnected) => return true,
                 Err(RecvTimeoutError::Timeout) => return false,
                 Ok(GroupInput::Propose { answer, .. }) => {
-                    let _receiver_dropped = answer.sender.send(Err(nobody()));
+                    let _receiver_dropped = answer.sender.send(Err(no_known_leader()));
                 }
                 // Dropping an input drops its sender, which tells the receiver that there will be no answer.
                 Ok(_dropped) => {}
@@ -95,7 +95,7 @@
         self.hard_state = stored.restored.hard_state;
         let replica = Replica::new(boot_now(), self.replica.id(), stored.restored, random_number()?);
         self.replica = replica.with_policy(self.policy);
-        self.shared.version.send_replace(state.version());
+        self.shared.config_version.send_replace(state.version());
         *self.shared.state.write() = state;
         self.applied_bytes = 0;
         Ok(())
--- a/crates/acacia-control/src/driver/members.rs
+++ b/crates/acacia-control/src/driver/members.rs
@@ -55,10 +55,10 @@
     /// because under its old id the host would acknowledge entries that it no longer has.
     pub(super) fn answer_join(&mut self, request: JoinCall) -> JoinAnswer {
         if !self.replica.may_act(boot_now()) {
-            return JoinAnswer::Elsewhere(self.not_leading());
+            return JoinAnswer::NotLeading(self.not_leading());
         }
         if self.replica.has_pending_change() {
-            return JoinAnswer::Open;
+            return JoinAnswer::Pending;
         }
         let JoinCall {
             host,
@@ -84,7 +84,7 @@
             None => MemberChange::Admit { host, address, disk },
         };
         self.change_members(change, "a host asked for its place");
-        JoinAnswer::Open
+        JoinAnswer::Pending
     }
 
     /// Removes a voter that is silent while another member could take its place.
--- a/crates/acacia-control/src/driver/mod.rs
+++ b/crates/acacia-control/src/driver/mod.rs
@@ -27,7 +27,7 @@
 use tokio::task::JoinHandle;
 use tokio_util::sync::CancellationToken;
 
-use crate::group::{GroupInput, GroupShared, GroupStatus, NotLeading, ProposalAnswer};
+use crate::group::{GroupInput, GroupShared, GroupStatus, NotLeading, ProposalResponder};
 use crate::peer_links::PeerLinks;
 use crate::storage::DataFolder;
 
@@ -52,7 +52,7 @@
     inputs: Receiver<GroupInput>,
     links: PeerLinks,
     log: Logger,
-    pending_proposals: BTreeMap<LogIndex, (Term, ProposalAnswer)>,
+    pending_proposals: BTreeMap<LogIndex, (Term, ProposalResponder)>,
     pending_confirmations: Vec<oneshot::Sender<Result<(), NotLeading>>>,
     pending_binds: BTreeMap<LogIndex, (ReplicaId, oneshot::Sender<Result<ReplicaId, String>>)>,
     leading_since: Option<BootTime>,
@@ -89,8 +89,8 @@
         }
         let state =
             decode_state(&stored.snapshot).context("snapshot contains a state that this release cannot read")?;
-        shared.version.send_replace(state.version());
-        shared.serving.send_replace(state.serving.config_number);
+        shared.config_version.send_replace(state.version());
+        shared.serving_config_number.send_replace(state.serving.config_number);
         *shared.state.write() = state;
         Ok(Self {
             policy,
@@ -173,7 +173,7 @@
                     let _receiver_dropped = answer.sender.send(Err(self.not_leading()));
                 }
             },
-            GroupInput::Confirm(answer) => self.pending_confirmations.push(answer),
+            GroupInput::ConfirmLeadership(answer) => self.pending_confirmations.push(answer),
             GroupInput::Message(message) => self.replica.step(boot_now(), message),
             GroupInput::PeerConnected { replica, address } => self.links.open_for_caller(replica, &address),
             GroupInput::ChangeMembers { change, answer } => {
@@ -235,10 +235,10 @@
         let state =
             decode_state(snapshot).context("leader sent a snapshot with a state that this release cannot read")?;
         self.folder.replace(self.hard_state, snapshot, &[])?;
-        self.shared.version.send_replace(state.version());
+        self.shared.config_version.send_replace(state.version());
         let number = state.serving.config_number;
         *self.shared.state.write() = state;
-        self.shared.serving.send_replace(number);
+        self.shared.serving_config_number.send_replace(number);
         self.applied_bytes = 0;
         slog::info!(self.log, "snapshot installed"; "event" => event::SNAPSHOT_WRITTEN, "index" => snapshot.index.0);
         Ok(())
@@ -274,12 +274,12 @@
                     let _receiver_dropped = answer.send(Ok(replica));
                 }
             }
-            self.shared.version.send_if_modified(|version| {
+            self.shared.config_version.send_if_modified(|version| {
                 let changed = *version != state.version();
                 *version = state.version();
                 changed
             });
-            self.shared.serving.send_if_modified(|number| {
+            self.shared.serving_config_number.send_if_modified(|number| {
                 let changed = *number != state.serving.config_number;
                 *number = state.serving.config_number;
                 changed
--- a/crates/acacia-control/src/entry_session.rs
+++ b/crates/acacia-control/src/entry_session.rs
@@ -128,7 +128,7 @@
 
 /// Tells the entry of each newer configuration, upon which it asks for it; the notice itself confirms nothing.
 async fn send_notices(control: Arc<Control>, answers: mpsc::Sender<Frame>) {
-    let mut versions = control.group.versions();
+    let mut versions = control.group.config_versions();
     while versions.changed().await.is_ok() {
         let version = *versions.borrow_and_update();
         let frame = Frame::EntryReply(answer_to_wire(boot_now(), 0, &EntryAnswer::NewerVersion(version)));
@@ -140,7 +140,7 @@
 
 /// Confirms an entry's lease and brings its configuration and its view of the endpoints up to date.
 async fn renew(control: &Control, lease: LeaseRequest) -> Result<EntryAnswer, NotLeading> {
-    control.group.confirm().await?;
+    control.group.confirm_leadership().await?;
     let state = control.group.read();
     if !state.entries.is_current(lease.incarnation) {
         return Ok(EntryAnswer::StaleIncarnation);
--- a/crates/acacia-control/src/group.rs
+++ b/crates/acacia-control/src/group.rs
@@ -16,7 +16,7 @@
 
 /// Maximum number of commands that wait for their outcome. Further callers wait before they propose, so that a leader
 /// whose disk is overloaded does not build up an ever older backlog.
-const MOST_PROPOSALS: usize = 4_096;
+const MAX_PENDING_PROPOSALS: usize = 4_096;
 
 /// Error of a replica that does not lead, which can neither change the state nor confirm that it is the latest.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -47,9 +47,9 @@
 pub(crate) enum GroupInput {
     Propose {
         command: ControlCommand,
-        answer: ProposalAnswer,
+        answer: ProposalResponder,
     },
-    Confirm(oneshot::Sender<Result<(), NotLeading>>),
+    ConfirmLeadership(oneshot::Sender<Result<(), NotLeading>>),
     Message(ReplicaMessage),
     PeerConnected {
         replica: ReplicaId,
@@ -89,14 +89,14 @@
     /// The member that the folder belongs to was removed; the folder can no longer be used.
     Removed,
     /// A membership change is pending; the host has to ask again.
-    Open,
+    Pending,
     /// This replica cannot answer; the host has to ask the leader.
-    Elsewhere(NotLeading),
+    NotLeading(NotLeading),
 }
 
 /// Sender for the outcome of a proposal.
 #[derive(Debug)]
-pub(crate) struct ProposalAnswer {
+pub(crate) struct ProposalResponder {
     pub(crate) sender: oneshot::Sender<Result<CommandOutcome, NotLeading>>,
     /// Semaphore permit that is held until the outcome is known.
     pub(crate) _permit: OwnedSemaphorePermit,
@@ -115,7 +115,7 @@
     ///
     /// Fails if this replica does not lead, or no longer does. The command may be committed nevertheless.
     pub async fn outcome(self) -> Result<CommandOutcome, NotLeading> {
-        self.receiver.await.unwrap_or_else(|_gone| Err(nobody()))
+        self.receiver.await.unwrap_or_else(|_dropped| Err(no_known_leader()))
     }
 }
 
@@ -132,10 +132,10 @@
 #[derive(Debug, Default)]
 pub(crate) struct GroupShared {
     pub(crate) state: RwLock<ControlState>,
-    pub(crate) version: watch::Sender<ConfigVersion>,
+    pub(crate) config_version: watch::Sender<ConfigVersion>,
     pub(crate) status: watch::Sender<GroupStatus>,
     /// Number of the configuration for calls by host and path.
-    pub(crate) serving: watch::Sender<ConfigNumber>,
+    pub(crate) serving_config_number: watch::Sender<ConfigNumber>,
     /// End of the leader lease in microseconds of the boot clock, or 0 if this replica has no lease.
     lease_until: AtomicU64,
 }
@@ -156,7 +156,7 @@
         Self {
             inputs,
             shared,
-            permits: Arc::new(Semaphore::new(MOST_PROPOSALS)),
+            permits: Arc::new(Semaphore::new(MAX_PENDING_PROPOSALS)),
             group,
         }
     }
@@ -170,11 +170,11 @@
     pub async fn submit(&self, command: ControlCommand) -> PendingOutcome {
         let (sender, receiver) = oneshot::channel();
         if let Ok(permit) = Arc::clone(&self.permits).acquire_owned().await {
-            let answer = ProposalAnswer {
+            let answer = ProposalResponder {
                 sender,
                 _permit: permit,
             };
-            self.input(GroupInput::Propose { command, answer });
+            self.send_input(GroupInput::Propose { command, answer });
         }
         PendingOutcome { receiver }
     }
@@ -193,10 +193,10 @@
     /// # Errors
     ///
     /// Fails if this replica does not lead.
-    pub async fn confirm(&self) -> Result<(), NotLeading> {
+    pub async fn confirm_leadership(&self) -> Result<(), NotLeading> {
         let (sender, receiver) = oneshot::channel();
-        self.input(GroupInput::Confirm(sender));
-        receiver.await.unwrap_or_else(|_gone| Err(nobody()))
+        self.send_input(GroupInput::ConfirmLeadership(sender));
+        receiver.await.unwrap_or_else(|_dropped| Err(no_known_leader()))
     }
 
     /// Proposes a membership change and returns the id of the affected replica, without waiting for the commit.
@@ -206,7 +206,7 @@
     /// Fails if this replica does not lead, or if the change is not allowed at present.
     pub async fn change_members(&self, change: MemberChange) -> Result<ReplicaId, MemberChangeError> {
         let (answer, receiver) = oneshot::channel();
-        self.input(GroupInput::ChangeMembers { change, answer });
+        self.send_input(GroupInput::ChangeMembers { change, answer });
         receiver.await.unwrap_or(Err(MemberChangeError::ChangePending))
     }
 
@@ -218,22 +218,24 @@
     /// Fails with a reason for the operator of that host. The reason is empty if this replica does not lead.
     pub async fn identify(&self, host: HostName, disk: DiskId) -> Result<ReplicaId, String> {
         let (answer, receiver) = oneshot::channel();
-        self.input(GroupInput::Identify { host, disk, answer });
+        self.send_input(GroupInput::Identify { host, disk, answer });
         receiver
             .await
-            .unwrap_or_else(|_gone| Err("replica is stopping".to_owned()))
+            .unwrap_or_else(|_dropped| Err("replica is stopping".to_owned()))
     }
 
     /// Asks the group to admit a host.
     pub(crate) async fn join(&self, request: JoinCall) -> JoinAnswer {
         let (answer, receiver) = oneshot::channel();
-        self.input(GroupInput::Join { request, answer });
-        receiver.await.unwrap_or_else(|_gone| JoinAnswer::Elsewhere(nobody()))
+        self.send_input(GroupInput::Join { request, answer });
+        receiver
+            .await
+            .unwrap_or_else(|_dropped| JoinAnswer::NotLeading(no_known_leader()))
     }
 
     /// Subscribes to the number of the configuration for calls by host and path.
-    pub fn serving_numbers(&self) -> watch::Receiver<ConfigNumber> {
-        self.shared.serving.subscribe()
+    pub fn serving_config_numbers(&self) -> watch::Receiver<ConfigNumber> {
+        self.shared.serving_config_number.subscribe()
     }
 
     /// Returns true if this replica holds the leader lease at `now`. Write guards check it immediately before a write.
@@ -247,8 +249,8 @@
     }
 
     /// Subscribes to the version of the configuration.
-    pub fn versions(&self) -> watch::Receiver<ConfigVersion> {
-        self.shared.version.subscribe()
+    pub fn config_versions(&self) -> watch::Receiver<ConfigVersion> {
+        self.shared.config_version.subscribe()
     }
 
     /// Subscribes to the status of the replica.
@@ -256,7 +258,7 @@
         self.shared.status.subscribe()
     }
 
-    pub(crate) fn input(&self, input: GroupInput) {
+    pub(crate) fn send_input(&self, input: GroupInput) {
         // Sending fails if the driver has ended because the process is stopping. Dropping the input drops its sender,
         // which tells the receiver that there will be no answer.
         let _stopping = self.inputs.send(input);
@@ -264,7 +266,7 @@
 }
 
 /// Returns the error of a replica that knows no leader.
-pub(crate) const fn nobody() -> NotLeading {
+pub(crate) const fn no_known_leader() -> NotLeading {
     NotLeading {
         leader_address: String::new(),
     }
--- a/crates/acacia-control/src/operator_api.rs
+++ b/crates/acacia-control/src/operator_api.rs
@@ -177,7 +177,7 @@
     }
 
     async fn list_keys(&self) -> OperatorAnswer {
-        self.control.group.confirm().await?;
+        self.control.group.confirm_leadership().await?;
         let state = self.control.group.read();
         let keys = state
             .config
@@ -230,7 +230,7 @@
     /// Records the intent to order an endpoint; it is sent by the leader's tasks.
     async fn order(&self, name: &str, target: OrderTarget) -> OperatorAnswer {
         let endpoint = EndpointName::new(name);
-        self.control.group.confirm().await?;
+        self.control.group.confirm_leadership().await?;
         let known = self
             .control
             .soft()
@@ -262,7 +262,7 @@
     }
 
     async fn usage(&self) -> OperatorAnswer {
-        self.control.group.confirm().await?;
+        self.control.group.confirm_leadership().await?;
         let state = self.control.group.read();
         let rows = state.usage.totals().map(|(customer, figures)| {
             json!({
@@ -277,7 +277,7 @@
 
     async fn in_force(&self, request: &OperatorRequest) -> OperatorAnswer {
         let version = ConfigVersion(request.number("version")?);
-        self.control.group.confirm().await?;
+        self.control.group.confirm_leadership().await?;
         let state = self.control.group.read();
         let behind = self
             .control
@@ -289,7 +289,7 @@
     }
 
     async fn status(&self) -> OperatorAnswer {
-        self.control.group.confirm().await?;
+        self.control.group.confirm_leadership().await?;
         let state = self.control.group.read();
         let now = boot_now();
         let soft = self.control.soft();
--- a/crates/acacia-control/src/operator_members.rs
+++ b/crates/acacia-control/src/operator_members.rs
@@ -17,7 +17,7 @@
 const BUSY_PAUSE: Duration = Duration::from_millis(50);
 
 pub(crate) async fn list_members(control: &Control) -> OperatorAnswer {
-    control.group.confirm().await?;
+    control.group.confirm_leadership().await?;
     Ok(json!({"members": members_json(control)}))
 }
 
@@ -63,7 +63,7 @@
 }
 
 pub(crate) async fn remove_member(control: &Control, host: &str) -> OperatorAnswer {
-    control.group.confirm().await?;
+    control.group.confirm_leadership().await?;
     let (replica, _) = find(control, host)?;
     let removed = change(control, MemberChange::Remove { replica }).await;
     removed.map_err(|refusal| refusal_of(control, &refusal))?;
@@ -72,7 +72,7 @@
 
 /// Removes a member whose disk was lost and admits its host anew, under another number.
 pub(crate) async fn replace_member(control: &Control, host: &str) -> OperatorAnswer {
-    control.group.confirm().await?;
+    control.group.confirm_leadership().await?;
     let (old, address) = find(control, host)?;
     let removed = change(control, MemberChange::Remove { replica: old }).await;
     removed.map_err(|refusal| refusal_of(control, &refusal))?;
--- a/crates/acacia-control/src/operator_tables.rs
+++ b/crates/acacia-control/src/operator_tables.rs
@@ -51,7 +51,7 @@
 }
 
 pub(crate) async fn read_table(control: &Control, name: TableName) -> OperatorAnswer {
-    control.group.confirm().await?;
+    control.group.confirm_leadership().await?;
     let state = control.group.read();
     let (number, rows) = match name {
         TableName::Routes => (state.config.routes.number(), routes_to_json(state.config.routes.rows())),
@@ -63,7 +63,7 @@
 pub(crate) async fn write_table(control: &Control, name: TableName, request: &OperatorRequest) -> OperatorAnswer {
     let expected = TableNumber(request.number("expect")?);
     let document = request.json()?;
-    control.group.confirm().await?;
+    control.group.confirm_leadership().await?;
     let plan = plan_write(control, name, expected, &document)?;
     if !plan.is_resend && plan.current != expected {
         return Err(conflict(expected, plan.current));
--- a/crates/acacia-control/src/peer_listener.rs
+++ b/crates/acacia-control/src/peer_listener.rs
@@ -80,7 +80,7 @@
         return Err(std::io::Error::other(text));
     }
     let replica = ReplicaId(hello.replica);
-    group.input(GroupInput::PeerConnected {
+    group.send_input(GroupInput::PeerConnected {
         replica,
         address: hello.address,
     });
@@ -90,7 +90,7 @@
         };
         match message_from_wire(message) {
             Ok(message) if message.from == replica => {
-                group.input(GroupInput::Message(message));
+                group.send_input(GroupInput::Message(message));
             }
             Ok(_forged) => return Err(std::io::Error::other("message in another replica's name")),
             Err(error) => return Err(std::io::Error::other(error)),
--- a/crates/acacia-control/src/serving/control_http.rs
+++ b/crates/acacia-control/src/serving/control_http.rs
@@ -91,7 +91,7 @@
     if !findings.is_empty() {
         return refuse_config(hub, Some(config.number), &findings);
     }
-    if hub.group.confirm().await.is_err() {
+    if hub.group.confirm_leadership().await.is_err() {
         return elsewhere(hub);
     }
     let held = hub.group.read().serving.config_number;
@@ -130,7 +130,7 @@
 
 /// Reads the configuration in force, from a leader that a quorum has confirmed: any other could show an older one.
 async fn read_config(hub: &ServingHub) -> ControlAnswer {
-    if hub.group.confirm().await.is_err() {
+    if hub.group.confirm_leadership().await.is_err() {
         return elsewhere(hub);
     }
     let state = hub.group.read();
--- a/crates/acacia-control/src/serving/hub.rs
+++ b/crates/acacia-control/src/serving/hub.rs
@@ -267,7 +267,7 @@
 
     /// Keeps the configurations that come into force, until the process ends.
     pub(super) async fn keep_recent_configs(&self) {
-        let mut numbers = self.group.serving_numbers();
+        let mut numbers = self.group.serving_config_numbers();
         numbers.mark_changed();
         while numbers.changed().await.is_ok() {
             numbers.borrow_and_update();
--- a/crates/acacia-control/src/serving/peers.rs
+++ b/crates/acacia-control/src/serving/peers.rs
@@ -84,9 +84,9 @@
             ..open
         },
         JoinAnswer::Removed => JoinReply { removed: true, ..open },
-        JoinAnswer::Open => open,
-        JoinAnswer::Elsewhere(elsewhere) => JoinReply {
-            leader_address: elsewhere.leader_address,
+        JoinAnswer::Pending => open,
+        JoinAnswer::NotLeading(not_leading) => JoinReply {
+            leader_address: not_leading.leader_address,
             ..open
         },
     };
--- a/crates/acacia-control/src/serving/renewals.rs
+++ b/crates/acacia-control/src/serving/renewals.rs
@@ -34,7 +34,7 @@
     sent: &mut SentNews,
 ) -> Body {
     let read_at = boot_now();
-    if hub.group.confirm().await.is_err() {
+    if hub.group.confirm_leadership().await.is_err() {
         return Body::Elsewhere(ServingElsewhere {
             request: request.request,
             leader_address: leader_peer_address(hub),
--- a/crates/acacia-control/src/serving/session.rs
+++ b/crates/acacia-control/src/serving/session.rs
@@ -132,7 +132,7 @@
 /// Sends what is new until the session ends: endpoints, replicas, the number of the configuration.
 async fn send_news(hub: &Arc<ServingHub>, frames: mpsc::Sender<WaitingFrame>) {
     let mut news = hub.news();
-    let mut numbers = hub.group.serving_numbers();
+    let mut numbers = hub.group.serving_config_numbers();
     let mut status = hub.group.status();
     let mut addresses = Vec::new();
     let mut led = false;
--- a/crates/acacia-control/src/serving/start.rs
+++ b/crates/acacia-control/src/serving/start.rs
@@ -84,7 +84,7 @@
     stop.cancel();
     tasks.close();
     tasks.wait().await;
-    hub.group.input(GroupInput::Stop);
+    hub.group.send_input(GroupInput::Stop);
     let ended = driving.await.context("the driving thread failed")?;
     slog::info!(log, "control stopped"; "event" => event::STOPPED);
     outcome.and(ended)
