--- a/crates/acacia-control/tests/storage.rs
+++ b/crates/acacia-control/tests/storage.rs
@@ -1,4 +1,4 @@
-//! The data folder after crashes, power losses and damage, against one plain list of entries.
+//! Tests of the data folder after crashes, power losses and disk corruption, and against a model of the log.
 
 use std::path::{Path, PathBuf};
 
@@ -44,7 +44,7 @@
 };
 
 fn new_folder() -> (TempDir, DataFolder) {
-    let folder = TempDir::new().expect("the system has a temporary folder");
+    let folder = TempDir::new().expect("a temporary folder can be created");
     let mut data = DataFolder::open(folder.path()).expect("an empty folder can be opened");
     data.initialise(HARD_STATE, &snapshot(1, 1))
         .expect("the folder can be written");
@@ -66,7 +66,9 @@
         .collect()
 }
 
-/// A folder with five synced writes, each of one entry longer than a disk sector; returns where each write ends.
+/// Returns a folder with five synced writes, the path of its log, and the offset at which each write ends.
+///
+/// Each write contains one entry that is longer than a disk sector.
 fn folder_with_five_writes() -> (TempDir, PathBuf, Vec<usize>) {
     let (folder, mut data) = new_folder();
     let log = folder.path().join("log");
@@ -74,52 +76,52 @@
     for index in 2..7 {
         data.append(None, Some(&append(index, vec![entry(index, 1, 700)])))
             .expect("the folder can be written");
-        ends.push(std::fs::read(&log).expect("the log is there").len());
+        ends.push(std::fs::read(&log).expect("the log exists").len());
     }
     (folder, log, ends)
 }
 
-/// Power is lost while the log is written, and only a part of the last write reaches the disk. The part was never
-/// confirmed to anyone; a replica that refused to start because of it would need a repair after every power loss.
+/// A power loss during a write leaves only a part of the last record on disk. The record was never acknowledged, so the
+/// part is truncated; a replica that refused to start would need a repair after every power loss.
 #[test]
 fn torn_last_write_is_cut_off_at_every_length() {
     let (folder, log, ends) = folder_with_five_writes();
-    let whole = std::fs::read(&log).expect("the log is there");
+    let whole = std::fs::read(&log).expect("the log exists");
 
     for length in ends[3] + 1..ends[4] {
         std::fs::write(&log, &whole[..length]).expect("the log can be written");
-        let stored = load(folder.path()).expect("a torn tail is no damage");
+        let stored = load(folder.path()).expect("a torn last write is not corruption");
         assert_eq!(indices(&stored), [2, 3, 4, 5], "cut at byte {length}");
         assert_eq!(stored.torn_bytes, length - ends[3]);
         assert_eq!(
-            std::fs::read(&log).expect("the log is there").len(),
+            std::fs::read(&log).expect("the log exists").len(),
             ends[3],
-            "the torn part stayed"
+            "the torn part was not truncated"
         );
     }
 }
 
-/// As above, on a file system that had already grown the file: what was not written reads as zeros.
+/// A power loss during a write leaves zeros at the end of the log if the file system had already extended the file.
 #[test]
 fn unwritten_sectors_at_the_end_are_cut_off() {
     let (folder, log, ends) = folder_with_five_writes();
-    let mut bytes = std::fs::read(&log).expect("the log is there");
+    let mut bytes = std::fs::read(&log).expect("the log exists");
     for byte in &mut bytes[ends[3]..] {
         *byte = 0;
     }
     std::fs::write(&log, &bytes).expect("the log can be written");
 
-    let stored = load(folder.path()).expect("unwritten sectors are no damage");
+    let stored = load(folder.path()).expect("unwritten sectors are not corruption");
 
     assert_eq!(indices(&stored), [2, 3, 4, 5]);
 }
 
-/// A disk returns one wrong bit. If the log were cut there as if it were torn, entries that this replica has confirmed
-/// would be gone without anyone knowing, and the group could lose what it accepted.
+/// A disk returns a wrong bit. If the log were truncated there as after a torn write, acknowledged entries would be
+/// lost without notice, and the group could lose committed entries.
 #[test]
 fn flipped_bit_anywhere_stops_the_replica_and_is_located() {
     let (folder, log, ends) = folder_with_five_writes();
-    let whole = std::fs::read(&log).expect("the log is there");
+    let whole = std::fs::read(&log).expect("the log exists");
 
     for place in (0..ends[4]).step_by(7) {
         let mut bytes = whole.clone();
@@ -127,7 +129,7 @@
         std::fs::write(&log, &bytes).expect("the log can be written");
         let error = load(folder.path())
             .err()
-            .unwrap_or_else(|| panic!("the flipped bit at {place} went unnoticed"));
+            .unwrap_or_else(|| panic!("the flipped bit at {place} was not detected"));
         let text = format!("{error:#}");
         assert!(text.contains("log"), "{text}");
     }
@@ -136,7 +138,7 @@
 #[test]
 fn newer_format_is_refused() {
     let (folder, log, _) = folder_with_five_writes();
-    let mut bytes = std::fs::read(&log).expect("the log is there");
+    let mut bytes = std::fs::read(&log).expect("the log exists");
     bytes[4] = 9;
     std::fs::write(&log, &bytes).expect("the log can be written");
 
@@ -145,60 +147,61 @@
     assert!(format!("{error:#}").contains("format 9"), "{error:#}");
 }
 
-/// The process dies after the new snapshot has its name and before the log was replaced. Nothing may be missing after
-/// the snapshot.
+/// The process crashes after renaming the new snapshot and before replacing the log. The entries after the snapshot
+/// must remain.
 #[test]
 fn crash_between_snapshot_and_log_keeps_the_entries_after_the_snapshot() {
     let (folder, log, _) = folder_with_five_writes();
-    let old_log = std::fs::read(&log).expect("the log is there");
+    let old_log = std::fs::read(&log).expect("the log exists");
     {
         let mut data = DataFolder::open(folder.path()).expect("the folder can be opened");
         data.load().expect("the folder can be read");
         data.replace(HARD_STATE, &snapshot(4, 1), &[entry(5, 1, 700), entry(6, 1, 700)])
-            .expect("it can be replaced");
+            .expect("the snapshot and the log can be replaced");
     }
     std::fs::write(&log, old_log).expect("the log can be written");
 
-    let first = load(folder.path()).expect("the folder is whole");
-    let second = load(folder.path()).expect("the folder is whole");
+    let first = load(folder.path()).expect("the folder is valid");
+    let second = load(folder.path()).expect("the folder is valid");
 
     for stored in [first, second] {
         assert_eq!((stored.snapshot.index, indices(&stored)), (LogIndex(4), vec![5, 6]));
     }
 }
 
-/// A replica that was away gets a snapshot from the leader and dies before its old log was replaced. The old entries
-/// may be ones that the group never accepted, so none may stay behind the snapshot, and the log must go on after it.
+/// A replica that has fallen behind installs the leader's snapshot and crashes before replacing its old log. The old
+/// entries may never have been committed, so none may remain after the snapshot, and new entries must follow the
+/// snapshot.
 #[test]
 fn crash_while_a_leaders_snapshot_is_installed_leaves_no_old_entries() {
     let (folder, log, _) = folder_with_five_writes();
-    let old_log = std::fs::read(&log).expect("the log is there");
+    let old_log = std::fs::read(&log).expect("the log exists");
     {
         let mut data = DataFolder::open(folder.path()).expect("the folder can be opened");
         data.load().expect("the folder can be read");
         data.replace(HARD_STATE, &snapshot(4, 3), &[])
-            .expect("it can be replaced");
+            .expect("the snapshot and the log can be replaced");
     }
     std::fs::write(&log, old_log).expect("the log can be written");
 
     let mut data = DataFolder::open(folder.path()).expect("the folder can be opened");
-    let stored = data.load().expect("the folder is whole");
+    let stored = data.load().expect("the folder is valid");
     data.append(None, Some(&append(5, vec![entry(5, 3, 10)])))
         .expect("the folder can be written");
     drop(data);
-    let after = load(folder.path()).expect("the folder is whole");
+    let after = load(folder.path()).expect("the folder is valid");
 
     assert_eq!(indices(&stored), Vec::<u64>::new());
     assert_eq!(indices(&after), [5]);
 }
 
-/// The process dies while it writes a new snapshot beside the old one.
+/// The process crashes while it writes the temporary file of a new snapshot.
 #[test]
 fn unfinished_new_snapshot_is_ignored() {
     let (folder, _, _) = folder_with_five_writes();
     std::fs::write(folder.path().join("snapshot.new"), b"half").expect("the folder can be written");
 
-    let stored = load(folder.path()).expect("the old snapshot is whole");
+    let stored = load(folder.path()).expect("the old snapshot is valid");
 
     assert_eq!(
         (stored.snapshot.index, indices(&stored)),
@@ -206,8 +209,8 @@
     );
 }
 
-/// Someone deletes the identity and leaves the log. The folder must not pass for an empty one, which would be filled
-/// anew.
+/// The identity file is deleted while the log remains. The folder must not be treated as empty, since initialising it
+/// would discard the log.
 #[test]
 fn folder_without_identity_but_with_a_log_is_refused() {
     let (folder, data) = new_folder();
@@ -218,7 +221,7 @@
     };
     data.store_identity(&identity).expect("the folder can be written");
     let read = data.identity().expect("the identity can be read");
-    std::fs::remove_file(folder.path().join("identity")).expect("the file is there");
+    std::fs::remove_file(folder.path().join("identity")).expect("the file exists");
 
     let missing = data.identity();
 
@@ -226,7 +229,7 @@
     assert!(missing.is_err());
 }
 
-/// One thing that is done to a folder.
+/// Operation on a folder.
 #[derive(Clone, Debug)]
 enum Step {
     Append { back: u64, count: u64 },
@@ -245,7 +248,8 @@
     prop::collection::vec(step, 1..30)
 }
 
-/// Whatever is written, replaced and read again, the folder holds what one plain list holds.
+/// After any sequence of appends, votes, compactions and reopenings, the folder has the same entries and hard state as
+/// a model that keeps them in a list.
 #[test]
 fn folder_holds_what_a_plain_list_holds() {
     let random = TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]);
@@ -285,17 +289,17 @@
                     list.retain(|entry| entry.index.0 > index);
                     base = index;
                     data.replace(hard_state, &snapshot(index, term), &list)
-                        .expect("it can be replaced");
+                        .expect("the snapshot and the log can be replaced");
                 }
                 Step::Reopen => {
                     drop(data);
                     data = DataFolder::open(folder.path()).expect("the folder can be opened");
-                    data.load().expect("the folder is whole");
+                    data.load().expect("the folder is valid");
                 }
             }
         }
         drop(data);
-        let stored = load(folder.path()).expect("the folder is whole");
+        let stored = load(folder.path()).expect("the folder is valid");
         prop_assert_eq!(stored.restored.log.entries(), list);
         prop_assert_eq!(stored.restored.hard_state, hard_state);
         Ok(())
