--- a/crates/acacia-control/tests/storage.rs
+++ b/crates/acacia-control/tests/storage.rs
@@ -84,7 +84,7 @@
 /// A power loss during a write leaves only a part of the last record on disk. The record was never acknowledged, so the
 /// part is truncated; a replica that refused to start would need a repair after every power loss.
 #[test]
-fn torn_last_write_is_cut_off_at_every_length() {
+fn torn_last_write_is_truncated_at_every_length() {
     let (folder, log, ends) = folder_with_five_writes();
     let whole = std::fs::read(&log).expect("the log exists");
 
@@ -103,7 +103,7 @@
 
 /// A power loss during a write leaves zeros at the end of the log if the file system had already extended the file.
 #[test]
-fn unwritten_sectors_at_the_end_are_cut_off() {
+fn unwritten_sectors_at_the_end_are_truncated() {
     let (folder, log, ends) = folder_with_five_writes();
     let mut bytes = std::fs::read(&log).expect("the log exists");
     for byte in &mut bytes[ends[3]..] {
@@ -119,24 +119,24 @@
 /// A disk returns a wrong bit. If the log were truncated there as after a torn write, acknowledged entries would be
 /// lost without notice, and the group could lose committed entries.
 #[test]
-fn flipped_bit_anywhere_stops_the_replica_and_is_located() {
+fn flipped_bit_is_detected_and_located() {
     let (folder, log, ends) = folder_with_five_writes();
     let whole = std::fs::read(&log).expect("the log exists");
 
-    for place in (0..ends[4]).step_by(7) {
+    for offset in (0..ends[4]).step_by(7) {
         let mut bytes = whole.clone();
-        bytes[place] ^= 1 << (place % 8);
+        bytes[offset] ^= 1 << (offset % 8);
         std::fs::write(&log, &bytes).expect("the log can be written");
         let error = load(folder.path())
             .err()
-            .unwrap_or_else(|| panic!("the flipped bit at {place} was not detected"));
+            .unwrap_or_else(|| panic!("the flipped bit at {offset} was not detected"));
         let text = format!("{error:#}");
         assert!(text.contains("log"), "{text}");
     }
 }
 
 #[test]
-fn newer_format_is_refused() {
+fn newer_format_is_rejected() {
     let (folder, log, _) = folder_with_five_writes();
     let mut bytes = std::fs::read(&log).expect("the log exists");
     bytes[4] = 9;
@@ -150,7 +150,7 @@
 /// The process crashes after renaming the new snapshot and before replacing the log. The entries after the snapshot
 /// must remain.
 #[test]
-fn crash_between_snapshot_and_log_keeps_the_entries_after_the_snapshot() {
+fn crash_between_snapshot_and_log_keeps_later_entries() {
     let (folder, log, _) = folder_with_five_writes();
     let old_log = std::fs::read(&log).expect("the log exists");
     {
@@ -173,7 +173,7 @@
 /// entries may never have been committed, so none may remain after the snapshot, and new entries must follow the
 /// snapshot.
 #[test]
-fn crash_while_a_leaders_snapshot_is_installed_leaves_no_old_entries() {
+fn crash_while_installing_snapshot_leaves_no_old_entries() {
     let (folder, log, _) = folder_with_five_writes();
     let old_log = std::fs::read(&log).expect("the log exists");
     {
@@ -197,7 +197,7 @@
 
 /// The process crashes while it writes the temporary file of a new snapshot.
 #[test]
-fn unfinished_new_snapshot_is_ignored() {
+fn incomplete_new_snapshot_is_ignored() {
     let (folder, _, _) = folder_with_five_writes();
     std::fs::write(folder.path().join("snapshot.new"), b"half").expect("the folder can be written");
 
@@ -212,7 +212,7 @@
 /// The identity file is deleted while the log remains. The folder must not be treated as empty, since initialising it
 /// would discard the log.
 #[test]
-fn folder_without_identity_but_with_a_log_is_refused() {
+fn folder_with_log_but_without_identity_is_rejected() {
     let (folder, data) = new_folder();
     let identity = FolderIdentity {
         group: 7,
@@ -231,48 +231,48 @@
 
 /// Operation on a folder.
 #[derive(Clone, Debug)]
-enum Step {
-    Append { back: u64, count: u64 },
+enum Operation {
+    Append { overlap: u64, count: u64 },
     Vote { term: u64 },
     Compact { keep: u64 },
     Reopen,
 }
 
-fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let step = prop_oneof![
-        4 => (0..4_u64, 1..5_u64).prop_map(|(back, count)| Step::Append { back, count }),
-        2 => (1..100_u64).prop_map(|term| Step::Vote { term }),
-        1 => (0..4_u64).prop_map(|keep| Step::Compact { keep }),
-        2 => Just(Step::Reopen),
+fn operations() -> impl Strategy<Value = Vec<Operation>> {
+    let operation = prop_oneof![
+        4 => (0..4_u64, 1..5_u64).prop_map(|(overlap, count)| Operation::Append { overlap, count }),
+        2 => (1..100_u64).prop_map(|term| Operation::Vote { term }),
+        1 => (0..4_u64).prop_map(|keep| Operation::Compact { keep }),
+        2 => Just(Operation::Reopen),
     ];
-    prop::collection::vec(step, 1..30)
+    prop::collection::vec(operation, 1..30)
 }
 
 /// After any sequence of appends, votes, compactions and reopenings, the folder has the same entries and hard state as
 /// a model that keeps them in a list.
 #[test]
-fn folder_holds_what_a_plain_list_holds() {
+fn folder_matches_a_list_model() {
     let random = TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]);
     let config = Config {
         cases: 200,
         failure_persistence: None,
         ..Config::default()
     };
-    let outcome = TestRunner::new_with_rng(config, random).run(&steps(), |steps| {
+    let outcome = TestRunner::new_with_rng(config, random).run(&operations(), |operations| {
         let (folder, mut data) = new_folder();
-        let (mut list, mut base, mut hard_state) = (Vec::<LogEntry>::new(), 1_u64, HARD_STATE);
-        for (number, step) in (1..).zip(steps) {
-            let end = list.last().map_or(base, |entry| entry.index.0);
-            match step {
-                Step::Append { back, count } => {
-                    let first = (end + 1).saturating_sub(back).max(base + 1);
+        let (mut model, mut base, mut hard_state) = (Vec::<LogEntry>::new(), 1_u64, HARD_STATE);
+        for (number, operation) in (1..).zip(operations) {
+            let end = model.last().map_or(base, |entry| entry.index.0);
+            match operation {
+                Operation::Append { overlap, count } => {
+                    let first = (end + 1).saturating_sub(overlap).max(base + 1);
                     let entries: Vec<LogEntry> = (first..first + count).map(|index| entry(index, number, 20)).collect();
-                    list.retain(|entry| entry.index.0 < first);
-                    list.extend(entries.clone());
+                    model.retain(|entry| entry.index.0 < first);
+                    model.extend(entries.clone());
                     data.append(None, Some(&append(first, entries)))
                         .expect("the folder can be written");
                 }
-                Step::Vote { term } => {
+                Operation::Vote { term } => {
                     hard_state = HardState {
                         term: Term(term),
                         vote: Some(ReplicaId(number)),
@@ -280,18 +280,18 @@
                     };
                     data.append(Some(hard_state), None).expect("the folder can be written");
                 }
-                Step::Compact { keep } => {
+                Operation::Compact { keep } => {
                     let index = end.saturating_sub(keep).max(base);
-                    let term = list
+                    let term = model
                         .iter()
                         .find(|entry| entry.index.0 == index)
                         .map_or(1, |entry| entry.term.0);
-                    list.retain(|entry| entry.index.0 > index);
+                    model.retain(|entry| entry.index.0 > index);
                     base = index;
-                    data.replace(hard_state, &snapshot(index, term), &list)
+                    data.replace(hard_state, &snapshot(index, term), &model)
                         .expect("the snapshot and the log can be replaced");
                 }
-                Step::Reopen => {
+                Operation::Reopen => {
                     drop(data);
                     data = DataFolder::open(folder.path()).expect("the folder can be opened");
                     data.load().expect("the folder is valid");
@@ -300,7 +300,7 @@
         }
         drop(data);
         let stored = load(folder.path()).expect("the folder is valid");
-        prop_assert_eq!(stored.restored.log.entries(), list);
+        prop_assert_eq!(stored.restored.log.entries(), model);
         prop_assert_eq!(stored.restored.hard_state, hard_state);
         Ok(())
     });
