--- a/crates/acacia-control/src/storage/data_folder.rs
+++ b/crates/acacia-control/src/storage/data_folder.rs
@@ -18,7 +18,7 @@
 /// Snapshot and log that were loaded from a data folder.
 #[derive(Debug)]
 pub struct StoredReplica {
-    /// Replicated state at the start of the log.
+    /// Snapshot from which the replica starts.
     pub snapshot: ReplicaSnapshot,
     /// Term, vote and the log entries after the snapshot.
     pub restored: RestoredReplica,
--- a/crates/acacia-control/src/storage/mod.rs
+++ b/crates/acacia-control/src/storage/mod.rs
@@ -9,8 +9,8 @@
 //!
 //! To replace a file, the new content is written to a temporary file and synced, the temporary file is renamed over the
 //! old file, and the folder is synced. New log entries are appended to `log` as records. Every file except `lock` has a
-//! header with the format version; a version that is newer than this release supports is rejected. What
-//! a crash may leave is set out in `docs/design/storage.md`, and `tests/storage.rs` crashes at every step.
+//! header with the format version; a version that is newer than this release supports is rejected. The states that a
+//! crash can leave behind are described in `docs/design/storage.md`, and `tests/storage.rs` crashes at every step.
 
 mod data_folder;
 mod identity;
