--- a/crates/acaciabay/src/core/serving/config_transfer.rs
+++ b/crates/acaciabay/src/core/serving/config_transfer.rs
@@ -1,9 +1,13 @@
-//! Transfer of configurations from a replica to an entry over one connection, each as a delta against the previous one.
+//! Transfer of configurations from a replica to an entry over one connection.
+//!
+//! The first update on a connection is a delta against the configuration that the entry holds, or the complete document
+//! if the replica does not have that configuration. Each later update is a delta against the previous one.
 //!
 //! A connection preserves order and loses nothing while it is open, so the entry has received every configuration that
-//! was sent earlier by the time it reads a later message. Neither side needs acknowledgements: the replica sends each
-//! configuration only once per connection, however often the entry asks while it is in transit, and the entry accepts
-//! every one that arrives. A new connection starts without this state. See `docs/design/machines.md`.
+//! was sent earlier by the time it reads a later message. Neither side needs acknowledgements. The replica sends each
+//! configuration only once per connection, however often the entry asks while it is in transit. The entry keeps every
+//! configuration that it receives as the base of the next delta, even if it already uses a newer one from another
+//! connection. A new connection starts without this state. See `docs/design/machines.md`.
 
 use std::collections::VecDeque;
 
@@ -21,7 +25,7 @@
     pub document: Bytes,
 }
 
-/// Content that updates an entry to a configuration.
+/// Content of an answer from which an entry obtains the newest configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConfigUpdate {
     /// Complete document.
@@ -36,13 +40,15 @@
     },
 }
 
-/// Number of replaced configurations to keep. Most entries are one change behind, and a few of them more.
+/// Number of replaced configurations to keep. An entry that needs an update usually lacks only the last change, and
+/// sometimes several.
 const KEPT_CONFIGS: usize = 4;
 
 /// The most recent configurations that this process has seen in force, newest first.
 ///
-/// All entries ask a newly elected leader at the same moment. With these configurations it can answer with deltas
-/// instead of complete documents, and so can a replica on a new connection.
+/// Only the leader sends configurations, but every replica records them: after an election all entries ask the new
+/// leader at the same moment, and it can answer with deltas instead of complete documents. The same applies to the
+/// first update on any other new connection.
 #[derive(Clone, Debug, Default)]
 pub struct RecentConfigs {
     rows: VecDeque<ConfigDocument>,
@@ -100,14 +106,16 @@
 /// Error in the sequence of updates. The connection has to be opened anew.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConfigUpdateError {
-    /// The delta applies to a configuration that this connection has not delivered.
+    /// The delta applies to another configuration than the last one that the connection has delivered or, if it has
+    /// delivered none, than the one that the entry held when it asked.
     BaseMismatch {
         /// Number of the configuration that the delta applies to.
         base: ConfigNumber,
     },
-    /// The delta cannot be applied to its base.
+    /// The delta has the right base number, but cannot be applied to the content of that configuration.
     DeltaMismatch,
-    /// The answer contains no update, but the configuration at hand has another number.
+    /// The answer contains no update, but its number differs from that of the last configuration that the connection
+    /// has delivered or, if it has delivered none, of the one that the entry held when it asked.
     MissingUpdate,
 }
 
@@ -138,12 +146,15 @@
 }
 
 impl ConfigReceiver {
-    /// Returns the configuration `number` that an answer delivers or, without `content`, confirms. `held` is the
-    /// configuration that the entry held when it sent the request.
+    /// Processes an answer and returns the configuration `number` that it names as the newest.
+    ///
+    /// An answer with `content` delivers that configuration. One without confirms the last configuration of this
+    /// connection or, if there is none, `held`: the configuration that the entry held when it sent the request.
     ///
     /// # Errors
     ///
-    /// Returns an error if the answer does not follow from the previous ones.
+    /// Returns an error if a delta has another base or cannot be applied to it, or if an answer without content has
+    /// another number than the configuration that it would confirm.
     pub fn receive(
         &mut self,
         number: ConfigNumber,
