--- a/crates/acaciabay/src/core/serving/config_freshness.rs
+++ b/crates/acaciabay/src/core/serving/config_freshness.rs
@@ -1,16 +1,20 @@
 //! Tracking of whether the configuration that an entry holds is known to be the newest.
 //!
-//! A serving lease guarantees that no key was withdrawn. It lasts longer than a change may take to come into force, so
-//! that entries keep serving through an election. Calls that the configuration allows are therefore served under the
-//! lease alone. A call is denied only while the configuration is known to be the newest: a caller that a stale
-//! configuration denies does not retry, although its call is valid. See `docs/design/machines.md`.
+//! A key that is withdrawn has to stop working within a given time. A serving lease ends before that time has passed
+//! since its request, so an entry with a lease may accept every key in the configuration that it holds. The lease lasts
+//! longer than a change of the configuration may take to come into force, so that entries keep serving through an
+//! election. An entry with a lease may therefore hold a configuration that lacks a new route or a new key.
+//!
+//! Calls that the held configuration allows are served. A call that it does not allow is denied only while the
+//! configuration is known to be the newest. Otherwise the call may be valid, and a denied caller does not retry, so the
+//! entry asks it to retry instead. See `docs/design/machines.md`.
 
 use std::time::Duration;
 
 use super::config::ConfigNumber;
 use crate::core::clock::BootTime;
 
-/// Fraction of the time within which a change has to be in force for which a confirmation is valid. The rest covers the
+/// Validity of a confirmation, as a fraction of the time within which a change has to be in force. The rest covers the
 /// transit time of the request that led to the confirmation, and of the answer to the caller.
 const CONFIRMATION_FRACTION: f64 = 0.75;
 
@@ -50,7 +54,8 @@
         (self.announced > held).then_some(self.announced_at)
     }
 
-    /// Returns the time since the configuration was last confirmed, or `None` if it never was.
+    /// Returns the time since the confirmed request was sent, or `None` if there was no confirmation. It is not counted
+    /// from the answer, because a change may have been committed while the answer was in transit.
     pub fn time_since_confirmed(&self, now: BootTime) -> Option<Duration> {
         self.confirmed_at.map(|confirmed_at| now.since(confirmed_at))
     }
