--- a/crates/acaciabay/src/core/serving/issued_order.rs
+++ b/crates/acaciabay/src/core/serving/issued_order.rs
@@ -1,4 +1,6 @@
 //! Outcome of an order for endpoints that was sent to the platform.
+//!
+//! An order sets the total number of endpoints of one kind in one failure domain: reclaimable or on-demand ones.
 
 use std::time::Duration;
 
@@ -10,13 +12,13 @@
 /// Delay before an order that was refused or not answered is issued again.
 const RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// The last order for endpoints of one kind in one failure domain.
+/// The last order for one kind of endpoints, reclaimable or on-demand, in one failure domain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IssuedOrder {
     desired: u32,
     is_accepted: bool,
     is_refused: bool,
-    /// True if the ordered number of endpoints has been present since the order was accepted.
+    /// True once the ordered number of endpoints was present at any time after the order was accepted.
     is_fulfilled: bool,
     retry_at: BootTime,
 }
@@ -28,7 +30,8 @@
         Self {
             desired,
             is_accepted: false,
-            // Until the platform answers, the order counts as refused if the previous one was.
+            // Until the platform answers, the order counts as refused if the previous one was. Otherwise each retry of
+            // a refused order would briefly undo the plan to order other endpoints in their place.
             is_refused: previous.is_some_and(|previous| previous.is_refused),
             is_fulfilled: false,
             retry_at: now + boot + EFFECT_MARGIN,
@@ -49,10 +52,11 @@
         self.is_fulfilled |= self.is_accepted && count >= self.desired;
     }
 
-    /// Returns true if an order for `desired` endpoints need not be issued again yet.
+    /// Returns true if an order for `desired` endpoints must not be issued now, because this order is for the same
+    /// number and either may still take effect or was refused and has to wait for its retry.
     ///
-    /// An order is fulfilled once its endpoints were present. If they are gone later, they were reclaimed or have
-    /// failed, and only a new order replaces them.
+    /// Returns false once the order is fulfilled. If its endpoints are gone later, they were reclaimed or have failed,
+    /// and only a new order replaces them. Whether an order is needed at all is for the caller to decide.
     pub fn is_pending(&self, now: BootTime, desired: u32) -> bool {
         self.desired == desired && now < self.retry_at && !self.is_fulfilled
     }
