--- a/crates/acaciabay/src/core/serving/pending_renewals.rs
+++ b/crates/acaciabay/src/core/serving/pending_renewals.rs
@@ -1,17 +1,20 @@
-//! Lease renewals that an entry has requested on one session, and the time of the next request.
+//! Lease renewals that an entry has requested on one session, and whether it may request another one.
 //!
 //! A replica answers requests in order, and a large configuration can occupy the connection for longer than an entry
-//! should wait before the next request. A lease starts at the time of its request, so the later the answers come, the
-//! more a new request is worth. Answers to older requests still count, each from the time of its own request. An entry
-//! that dropped them would also drop the configurations that they contain, and on a slow link every answer belongs to
-//! an older request. See `docs/design/machines.md`.
+//! should wait before the next request. A lease starts at the time of its request, so a late answer yields a lease that
+//! has partly passed. The entry therefore sends another request when the newest one has been unanswered for a while.
+//!
+//! Answers to the requests before the newest one still count, each from the time of its own request. An entry that
+//! dropped them would also drop the configurations that they contain, and on a slow link no answer belongs to the
+//! newest request. See `docs/design/machines.md`.
 
 use std::collections::VecDeque;
 
 use crate::core::clock::BootTime;
 use crate::core::serving::replica_tracker::LEADER_TIMEOUT;
 
-/// Maximum number of unanswered renewals. At this number an entry sends no more requests and only waits for answers.
+/// Maximum number of unanswered renewals. At this number an entry sends no more requests on the session and only waits
+/// for answers.
 const MAX_PENDING: usize = 32;
 
 /// Renewal that was requested. `H` is the type of the state that the entry held at that time.
@@ -21,7 +24,8 @@
     pub number: u64,
     /// Time of the request.
     pub requested_at: BootTime,
-    /// State that the entry held at the time of the request. An answer without content confirms it.
+    /// State that the entry held at the time of the request. An answer that brings no newer state confirms it, unless
+    /// the session has delivered another state since.
     pub held: H,
 }
 
@@ -53,22 +57,30 @@
         self.last
     }
 
-    /// Removes and returns the renewal that an answer belongs to. Older renewals are removed too, because they will not
-    /// be answered any more.
+    /// Removes and returns the renewal with this number, which was answered. Returns `None` if no such renewal is
+    /// pending.
+    ///
+    /// Also removes the renewals that were requested before it. Answers come in the order of the requests, so these
+    /// will not be answered any more.
     pub fn complete(&mut self, number: u64) -> Option<PendingRenewal<H>> {
         let at = self.pending.iter().position(|renewal| renewal.number == number)?;
         self.pending.drain(..at);
         self.pending.pop_front()
     }
 
-    /// Returns true if another renewal may be requested: none is pending, or the last request has been pending for
-    /// [`LEADER_TIMEOUT`] and fewer than `MAX_PENDING` are.
+    /// Returns true if another renewal may be requested: none is pending, or fewer than `MAX_PENDING` are and the
+    /// newest has been pending for [`LEADER_TIMEOUT`].
+    ///
+    /// After the same time without a confirmed lease, an entry asks all replicas.
     pub fn can_request(&self, now: BootTime) -> bool {
         let last = self.pending.back();
         last.is_none_or(|last| now.since(last.requested_at) >= LEADER_TIMEOUT && self.pending.len() < MAX_PENDING)
     }
 
-    /// Returns the last renewal if it has been pending for at least [`LEADER_TIMEOUT`].
+    /// Returns the newest renewal if it has been pending for at least [`LEADER_TIMEOUT`].
+    ///
+    /// The older ones have then been pending for longer. Each new request gives the replica another [`LEADER_TIMEOUT`]
+    /// to answer any of them.
     pub fn overdue(&self, now: BootTime) -> Option<&PendingRenewal<H>> {
         let last = self.pending.back();
         last.filter(|last| now.since(last.requested_at) >= LEADER_TIMEOUT)
