--- a/crates/acaciabay/src/core/serving/replica_tracker.rs
+++ b/crates/acaciabay/src/core/serving/replica_tracker.rs
@@ -1,9 +1,9 @@
 //! The replicas of the control group that an entry keeps sessions with, and those that it asks for its lease.
 //!
 //! Each replica reports the voters that it knows of, and its view may be stale. An entry that used only the latest
-//! report could close its session with the next leader and would not learn of it again. Without a lease it would then
-//! refuse all calls while every other entry serves. It therefore keeps a session with every replica that any of them
-//! reports.
+//! report could close its session with a replica that the report lacks. If that replica became the leader and no later
+//! report listed it, the entry would have no session to renew its lease on, and would refuse all calls while every
+//! other entry serves. It therefore keeps a session with every replica that is listed in any report.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -11,11 +11,14 @@
 
 use crate::core::clock::BootTime;
 
-/// Time after the last confirmation from which all replicas are asked instead of only the presumed leader: two renewal
-/// intervals and a round trip. Two replicas that are partitioned from the others may name each other as the leader for
-/// as long as the partition lasts, so such a claim is trusted for no longer than this.
+/// Time after the last confirmation of the lease from which an entry asks all replicas instead of only the presumed
+/// leader: two renewal intervals and a round trip.
+///
+/// Only a confirmation restarts this time. Two replicas that are partitioned from the others may name each other as the
+/// leader for as long as the partition lasts, and an entry that followed them would never ask the actual leader.
 pub const LEADER_TIMEOUT: Duration = Duration::from_millis(600);
 
+/// Replica that has reported its voters.
 #[derive(Clone, Debug, Default)]
 struct ReplicaReport {
     voters: BTreeSet<SocketAddr>,
@@ -43,8 +46,10 @@
         self.reports.insert(replica, report);
     }
 
-    /// Records that the session with a replica has ended. Its report is kept: if all sessions were lost and the seeds
-    /// replaced, it may be the only way to reconnect.
+    /// Records that the session with a replica has ended. If it was the presumed leader, there is none any more.
+    ///
+    /// Its report is kept. If all sessions are lost and the seeds, which are the replica addresses in the settings,
+    /// were replaced, the reports may be the only way to reconnect.
     pub fn mark_disconnected(&mut self, replica: SocketAddr) {
         if let Some(report) = self.reports.get_mut(&replica) {
             report.is_connected = false;
@@ -69,7 +74,8 @@
         self.leader = Some(replica);
     }
 
-    /// Records that a replica is not the leader, and which one it names as the leader.
+    /// Records that a replica is not the leader, and which one it names as the leader. Ignored while another replica is
+    /// the presumed leader.
     pub fn record_not_leader(&mut self, replica: SocketAddr, named: Option<SocketAddr>) {
         if self.leader.is_none_or(|leader| leader == replica) {
             self.leader = named.filter(|named| *named != replica);
@@ -82,6 +88,9 @@
     }
 
     /// Returns true if a replica has to be asked to confirm the lease.
+    ///
+    /// Only the presumed leader is asked. If there is none, or the lease has not been confirmed for [`LEADER_TIMEOUT`],
+    /// all replicas are.
     pub fn should_ask(&self, now: BootTime, replica: SocketAddr) -> bool {
         let is_unconfirmed = self
             .confirmed_at
