--- a/crates/acaciabay/src/core/serving/retry_limiter.rs
+++ b/crates/acaciabay/src/core/serving/retry_limiter.rs
@@ -1,6 +1,6 @@
-//! Limit on retries that many entries keep without communicating.
+//! Limit on retries that all entries obey together without communicating.
 //!
-//! When a service fails, every entry retries its calls, and the load on the service multiplies at the worst moment.
+//! When a service fails, every entry retries its calls, which multiplies the load on a service that is already failing.
 //! Operators limit the retries of all entries together: in any window, a ratio of the calls plus a fixed slack. Each
 //! entry applies the ratio to its own calls, and the slack is divided by the number of entries.
 
@@ -20,7 +20,7 @@
     pub window: Duration,
 }
 
-/// Fraction of the limit that is used. The rest covers calls that two clocks assign to different windows.
+/// Fraction of the limit that is used. The rest covers calls that the clocks of two hosts assign to different windows.
 const USABLE_FRACTION: f64 = 0.8;
 
 /// Calls and retries that one entry has sent to one service within the window.
@@ -31,7 +31,7 @@
 }
 
 impl RetryLimiter {
-    /// Records a call from a caller.
+    /// Records a call that the entry has received. Retries of it are not recorded here.
     pub fn record_call(&mut self, now: BootTime, limit: &RetryLimit) {
         self.expire(now, limit);
         self.calls.push_back(now);
@@ -39,8 +39,8 @@
 
     /// Acquires one retry and returns true, or returns false if the limit is reached.
     ///
-    /// `entries` is the number of entries that may be sending at present. If it is too low, the entries together may
-    /// exceed the slack.
+    /// `entries` is the number of entries that may be sending at present. If the caller passes fewer than there are,
+    /// each entry takes too large a share of the slack, and together they may exceed it.
     pub fn try_acquire(&mut self, now: BootTime, limit: &RetryLimit, entries: u32) -> bool {
         self.expire(now, limit);
         let allowed =
