--- a/crates/acaciabay/src/core/serving/start_counts.rs
+++ b/crates/acaciabay/src/core/serving/start_counts.rs
@@ -1,7 +1,8 @@
-//! Counts of started calls by wall-clock window and customer.
+//! Counts of calls that have started to run, by wall-clock window and customer.
 //!
-//! An entry keeps absolute counts and reports them repeatedly. The leader keeps the highest count of each entry, so a
-//! duplicate report changes nothing, and a new leader gets the full counts from the next report.
+//! An entry reports the total of each window so far, not the increase since its last report, and repeats it. The
+//! control group keeps the highest count that each entry process has reported for each window and customer, so a
+//! duplicate or late report changes nothing, and a new leader gets the full counts from the next report.
 
 use std::collections::BTreeMap;
 
@@ -21,7 +22,7 @@
 /// Counts by customer.
 pub type CustomerCounts = BTreeMap<CustomerName, u64>;
 
-/// Counts of one entry process.
+/// Counts of the calls that one entry process has started.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StartCounts {
     windows: BTreeMap<WindowNumber, CustomerCounts>,
@@ -45,22 +46,22 @@
     }
 }
 
-/// Identifies one start of an entry process.
+/// Identifies one run of an entry process. A restarted process has another identifier, because its counts begin at 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EntryStart(pub u64);
 
-/// Counts of one entry process in one window.
+/// Report of the counts of one entry process in one window.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GatheredRow {
     /// Entry process that counted.
     pub entry: EntryStart,
     /// Window of the counts.
     pub window: WindowNumber,
-    /// Counts so far.
+    /// Totals of the window so far.
     pub counts: CustomerCounts,
 }
 
-/// Counts of all entries.
+/// Reported counts of all entries.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GatheredCounts {
     windows: BTreeMap<WindowNumber, BTreeMap<EntryStart, CustomerCounts>>,
@@ -102,7 +103,7 @@
         totals
     }
 
-    /// Returns all rows.
+    /// Returns the stored counts as one report per entry process and window.
     pub fn rows(&self) -> impl Iterator<Item = GatheredRow> {
         self.windows.iter().flat_map(|(window, entries)| {
             entries.iter().map(|(entry, counts)| GatheredRow {
