--- a/crates/acaciabay/src/core/serving/serving_state.rs
+++ b/crates/acaciabay/src/core/serving/serving_state.rs
@@ -1,4 +1,9 @@
-//! Part of the replicated state that serves calls by host and path: configuration, duties and usage windows.
+//! Replicated state for calls that are routed by host and path: the configuration, the holder of the duties, and the
+//! usage windows.
+//!
+//! The duties are the tasks that only one host may perform at a time, such as reporting usage to the platform and
+//! ordering endpoints. A usage window is a period of wall-clock time for which the calls of each customer are counted
+//! and billed.
 
 use std::collections::BTreeMap;
 
@@ -19,22 +24,24 @@
         /// Document as the operator sent it, so that it can be read back unchanged.
         document: Bytes,
     },
-    /// Assigns all duties to a host.
+    /// Assigns all duties to a host under a new fencing number.
     AssumeDuties {
         /// Host that takes the duties.
         holder: HostName,
     },
-    /// Stores the counts that entries report, so that they survive a restart of all processes.
+    /// Merges the counts of started calls that entries report, so that they survive a restart of all processes. Counts
+    /// for windows that can no longer be sealed are ignored.
     GatherStarts {
         /// Rows to merge into the stored counts.
         rows: Vec<GatheredRow>,
     },
-    /// Seals the counts of a window before they are first reported to the platform.
+    /// Seals the counts of started calls in a window: fixes the totals that are reported to the platform, before they
+    /// are first reported. Counts for earlier windows that are not sealed yet are discarded.
     SealStarts {
         /// Window to seal.
         window: WindowNumber,
     },
-    /// Records that the platform has accepted the report of a window.
+    /// Removes a sealed window after the platform has accepted its counts of started calls.
     SettleStarts {
         /// Accepted window.
         window: WindowNumber,
@@ -48,7 +55,7 @@
     Config(ConfigNumber),
     /// Fencing number of the new assignment.
     Fence(FenceNumber),
-    /// No further result.
+    /// The command was applied and has no result value.
     Done,
 }
 
@@ -61,11 +68,11 @@
     pub document: Bytes,
     /// Current assignment of the duties.
     pub duties: DutyTable,
-    /// Counts that entries have reported for windows that are not sealed yet.
+    /// Counts that entries have reported for windows after `last_sealed`.
     pub gathered: GatheredCounts,
     /// Windows that are sealed but not yet accepted by the platform.
     pub sealed: BTreeMap<WindowNumber, CustomerCounts>,
-    /// Highest window that was ever sealed.
+    /// Highest window that was ever sealed; 0 also if there is none yet.
     pub last_sealed: WindowNumber,
 }
 
@@ -88,8 +95,8 @@
                 ServingOutcome::Done
             }
             ServingCommand::SealStarts { window } => {
-                // The first counts are final: a second report of the same window with other counts would be billed
-                // twice.
+                // A window is sealed only once. If it were reported again with other counts, the platform would bill
+                // the same calls twice.
                 if *window > self.last_sealed {
                     self.last_sealed = *window;
                     self.sealed.insert(*window, self.gathered.totals(*window));
