--- a/crates/acaciabay/src/core/serving/config.rs
+++ b/crates/acaciabay/src/core/serving/config.rs
@@ -78,10 +78,11 @@
 }
 
 impl CallRoute {
-    /// Returns how long a caller waits for the first or next event before it abandons the stream.
+    /// Returns how long a caller is assumed to wait for the first or next event before it abandons the stream.
     ///
-    /// Callers abandon a stream after the longest of three times: a fixed minimum, a multiple of the target latency,
-    /// and a multiple of the target gap. Work for a caller that has left is wasted.
+    /// This is the longest of three times: a fixed minimum, a multiple of the target latency, and a multiple of the
+    /// target gap. An engine that is silent must be replaced before that, because answering a caller that has left is
+    /// wasted work.
     pub fn event_timeout(&self) -> Duration {
         const MIN_TIMEOUT: Duration = Duration::from_secs(2);
         const LATENCY_FACTOR: u32 = 4;
@@ -111,15 +112,17 @@
     pub slots: u32,
     /// Capacity of one engine's KV cache, in tokens.
     pub memory_tokens: u64,
-    /// Time for which an engine keeps a prompt that it has read, so that another engine can copy it.
+    /// Time for which an engine keeps the KV cache of a prompt that it has prefilled, so that another engine can copy
+    /// it.
     pub retention: Duration,
-    /// Time for which an engine is unavailable while it changes its stage.
+    /// Time for which an engine is unavailable while it switches between prefilling and decoding. See
+    /// [`EngineStage`](super::endpoint_registry::EngineStage).
     pub stage_switch_time: Duration,
     /// Link over which engines copy KV cache to each other, if they can.
     pub link: Option<MemoryLink>,
 }
 
-/// Speed at which KV cache is copied from one engine to another.
+/// Network link over which engines copy KV cache to each other.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MemoryLink {
     /// Size of one token in the KV cache, in bytes.
@@ -179,7 +182,7 @@
 pub struct CustomerRow {
     /// Name of the customer.
     pub name: CustomerName,
-    /// Digests of the customer's keys.
+    /// Digests of the access keys that identify calls of this customer.
     pub keys: Vec<ContentDigest>,
     /// Priority of the customer's calls. It overrides the priority of the route.
     pub priority: Option<u8>,
