--- a/crates/acaciabay/src/core/serving/config_index.rs
+++ b/crates/acaciabay/src/core/serving/config_index.rs
@@ -6,7 +6,7 @@
 use super::config::{CallRoute, CustomerRow, ServingConfig};
 use crate::util::digest::ContentDigest;
 
-/// Configuration indexed for lookups, so that a call costs the same with hundreds of routes as with five.
+/// Configuration indexed for lookups, so that the cost of a lookup does not depend on the number of routes.
 #[derive(Clone, Debug)]
 pub struct ConfigIndex {
     config: ServingConfig,
@@ -19,7 +19,7 @@
 pub enum AccessRefusal {
     /// No route matches the host and a prefix of the path.
     NoRoute,
-    /// The route requires a key, and the call has none that is in force.
+    /// The route requires a key, and the call has none or one that belongs to no customer.
     UnknownKey,
 }
 
@@ -28,7 +28,8 @@
 pub struct AdmittedCall {
     /// Route of the call.
     pub route: Arc<CallRoute>,
-    /// Customer that owns the call's key.
+    /// Customer that owns the call's key. `None` if the call has no key or an unknown one, which is admitted only on a
+    /// public route or if the configuration has no customers.
     pub customer: Option<Arc<CustomerRow>>,
 }
 
@@ -84,8 +85,10 @@
         })
     }
 
-    /// Returns the route of the host with the longest matching prefix. Every prefix ends with a slash, so only the
-    /// parts of the path that end with one are looked up, longest first.
+    /// Returns the route of the host with the longest prefix that matches the path.
+    ///
+    /// The prefixes of routes end with a slash. The path is therefore cut after each of its slashes, from the last to
+    /// the first, and the first cut that is the prefix of a route is the longest match.
     fn route(&self, host: &str, path: &str) -> Option<&Arc<CallRoute>> {
         let prefixes = self.by_host.get(host)?;
         let slashes = path.char_indices().rev().filter(|(_, letter)| *letter == '/');
