--- a/crates/acaciabay/src/core/serving/lease_recovery.rs
+++ b/crates/acaciabay/src/core/serving/lease_recovery.rs
@@ -1,16 +1,20 @@
-//! Handling of calls that arrive while an entry has no lease.
+//! Handling of calls that arrive while an entry has no serving lease.
 //!
-//! After a power failure of all hosts, entries start before the control group has a leader. They get their lease a
-//! moment later, as does a single entry that was restarted. A refused caller would retry much later than that, or not
-//! at all if its time limit is short, so such a call is held. An entry that has lost its lease cannot tell when it will
-//! get another one, and refuses calls.
+//! An entry that has just started usually gets its first lease within a moment, even after a power failure of all
+//! hosts, when entries start before the control group has a leader. A refused caller would retry much later than that,
+//! or not at all if its time limit is short. Such an entry therefore holds calls until it has a lease, for a limited
+//! time.
+//!
+//! An entry that has lost its lease cannot tell when it will get another one, and other entries may serve the calls. It
+//! refuses calls at once.
 
 use std::time::Duration;
 
 use crate::core::clock::BootTime;
 
-/// Time until entries have a lease again after the control group has started or lost its leader: the lease of the
-/// former leader (0.8 s), an election (up to 1.3 s) and a renewal.
+/// Time until entries have a serving lease again after the control group has started or lost its leader. The leader
+/// lease of the former leader, by which other replicas grant no vote, has to end (0.8 s). An election (up to 1.3 s) and
+/// a renewal of the entry's serving lease follow.
 const LEASE_RECOVERY: Duration = Duration::from_millis(2_200);
 /// Minimum retry delay for callers that are refused for lack of a lease.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(300);
@@ -18,15 +22,16 @@
 /// about the same time. It has a leader within one second if the former leader returns, and within two if another one
 /// has to be elected.
 const FIRST_LEASE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Minimum time that a call needs after the lease to be answered. A call that would have less left is refused at once.
+/// Minimum time that a call needs for its answer once the entry has a lease. A call that has less time left is refused
+/// at once.
 const MIN_ANSWER_TIME: Duration = Duration::from_millis(150);
 
 /// Period without a lease, with its beginning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseOutage {
-    /// There has been no lease since the process started.
+    /// No lease since the process started, at this time.
     SinceStart(BootTime),
-    /// The last lease ended.
+    /// No lease since the last one ended, at this time.
     SinceEnd(BootTime),
 }
 
