--- a/crates/acaciabay/src/core/serving/group_clock.rs
+++ b/crates/acaciabay/src/core/serving/group_clock.rs
@@ -29,7 +29,8 @@
         self.offsets_millis.remove(replica);
     }
 
-    /// Returns the median time in milliseconds since 1970, or `None` if too few replicas are known.
+    /// Returns the median time in milliseconds since 1970, or `None` if the clocks of too few replicas are known. For
+    /// an even number of replicas it is the later of the two middle times.
     pub fn wall_millis(&self, now: BootTime) -> Option<u64> {
         if self.offsets_millis.len() < MIN_REPLICAS {
             return None;
