--- a/crates/acaciabay/src/core/serving/stop_phase.rs
+++ b/crates/acaciabay/src/core/serving/stop_phase.rs
@@ -4,13 +4,15 @@
 
 use crate::core::clock::BootTime;
 
-/// Time for which calls are still accepted after the stop request. The balancer polls once a second, acts on two
-/// answers, and may keep sending callers here while too few other hosts are ready. A call that is accepted later has so
-/// little time left before the process has to end that a long answer would be cut off; if it is refused, its caller
-/// finds another host.
+/// Time for which calls are still accepted after the stop request. The balancer polls once a second and acts on two
+/// answers, so it still sends calls here for about two seconds, and this time is longer than that.
+///
+/// The balancer may go on sending calls here even later, while too few other hosts are ready. Such a call has so little
+/// time left before the process has to end that a long answer would be cut off. It is refused, so that its caller
+/// retries and reaches another host.
 const ACCEPT_DURATION: Duration = Duration::from_millis(2_900);
 
-/// Time at which an entry was asked to stop, if it was.
+/// State of an entry with regard to stopping: the time of the stop request, if there was one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StopPhase(Option<BootTime>);
 
