--- a/crates/acaciabay/src/core/serving/config.rs
+++ b/crates/acaciabay/src/core/serving/config.rs
@@ -91,15 +91,17 @@
         MIN_TIMEOUT.max(self.target_latency * LATENCY_FACTOR).max(gaps)
     }
 
-    /// Selects the service for a call. `draw` must be uniformly distributed over all values of `u64`.
-    pub fn pick_service(&self, draw: u64) -> Option<&ServiceName> {
+    /// Selects the service for a call according to the weights, or returns `None` if the weights add up to 0.
+    ///
+    /// `random` must be uniformly distributed over all values of `u64`.
+    pub fn pick_service(&self, random: u64) -> Option<&ServiceName> {
         let total: u64 = self.shares.iter().map(|share| share.weight).sum();
-        let mut left = draw.checked_rem(total)?;
+        let mut remainder = random.checked_rem(total)?;
         for share in &self.shares {
-            if left < share.weight {
+            if remainder < share.weight {
                 return Some(&share.service);
             }
-            left -= share.weight;
+            remainder -= share.weight;
         }
         None
     }
@@ -224,10 +226,10 @@
     /// All of them are reported at once, so that an operator does not have to find them one by one.
     pub fn findings(&self) -> Vec<ConfigFinding> {
         let mut findings = Vec::new();
-        let mut places = BTreeSet::new();
+        let mut host_prefixes = BTreeSet::new();
         for route in &self.routes {
             self.check_route(route, &mut findings);
-            if !places.insert((&route.host, &route.prefix)) {
+            if !host_prefixes.insert((&route.host, &route.prefix)) {
                 findings.push(finding(&route.name, "another route has the same host and prefix"));
             }
         }
