--- a/crates/acaciabay/src/core/serving/config_freshness.rs
+++ b/crates/acaciabay/src/core/serving/config_freshness.rs
@@ -60,11 +60,11 @@
         self.confirmed_at.map(|confirmed_at| now.since(confirmed_at))
     }
 
-    /// Returns true if a call may be denied by the configuration `held`, given that a change has to be in force within
-    /// `in_force`.
-    pub fn may_deny(&self, now: BootTime, held: ConfigNumber, in_force: Duration) -> bool {
+    /// Returns true if a call may be denied by the configuration with the number `held`, given that a change has to be
+    /// in force within `change_deadline` of its commit.
+    pub fn may_deny(&self, now: BootTime, held: ConfigNumber, change_deadline: Duration) -> bool {
         let time_since_confirmed = self.time_since_confirmed(now);
-        let is_confirmed = time_since_confirmed.is_some_and(|ago| ago < in_force.mul_f64(CONFIRMATION_FRACTION));
+        let is_confirmed = time_since_confirmed.is_some_and(|ago| ago < change_deadline.mul_f64(CONFIRMATION_FRACTION));
         is_confirmed && self.behind_since(held).is_none()
     }
 }
