--- a/crates/acaciabay/src/core/serving/config_index.rs
+++ b/crates/acaciabay/src/core/serving/config_index.rs
@@ -91,7 +91,7 @@
     /// the first, and the first cut that is the prefix of a route is the longest match.
     fn route(&self, host: &str, path: &str) -> Option<&Arc<CallRoute>> {
         let prefixes = self.by_host.get(host)?;
-        let slashes = path.char_indices().rev().filter(|(_, letter)| *letter == '/');
+        let slashes = path.char_indices().rev().filter(|(_, character)| *character == '/');
         slashes.into_iter().find_map(|(at, _)| prefixes.get(&path[..=at]))
     }
 }
