--- a/crates/acaciabay/src/core/serving/config_transfer.rs
+++ b/crates/acaciabay/src/core/serving/config_transfer.rs
@@ -81,19 +81,20 @@
     /// it is in transit.
     ///
     /// `held` is the number that the entry reported when it asked. It matters only for the first update on a
-    /// connection. `known` looks up a configuration that was in force before.
+    /// connection. `lookup` returns the configuration with a given number, if it is still available. `delta_between`
+    /// computes the delta that turns the first configuration into the second.
     pub fn next_update(
         &mut self,
         held: ConfigNumber,
         newest: &ConfigDocument,
-        known: impl FnOnce(ConfigNumber) -> Option<ConfigDocument>,
+        lookup: impl FnOnce(ConfigNumber) -> Option<ConfigDocument>,
         delta_between: impl FnOnce(&ConfigDocument, &ConfigDocument) -> ByteDelta,
     ) -> Option<ConfigUpdate> {
         let last = self.last.replace(newest.clone());
         if last.as_ref().map_or(held, |last| last.number) == newest.number {
             return None;
         }
-        Some(match last.or_else(|| known(held)) {
+        Some(match last.or_else(|| lookup(held)) {
             Some(base) => ConfigUpdate::Delta {
                 base: base.number,
                 delta: delta_between(&base, newest),
@@ -164,18 +165,18 @@
         let document = match (content, &self.last) {
             (Some(ConfigUpdate::Full(document)), _) => document,
             (Some(ConfigUpdate::Delta { base, delta }), last) => {
-                let last = last.as_ref().unwrap_or(held);
-                if last.number != base {
+                let current = last.as_ref().unwrap_or(held);
+                if current.number != base {
                     return Err(ConfigUpdateError::BaseMismatch { base });
                 }
-                delta.apply(&last.document)?
+                delta.apply(&current.document)?
             }
             (None, last) => {
-                let last = last.as_ref().unwrap_or(held);
-                if last.number != number {
+                let current = last.as_ref().unwrap_or(held);
+                if current.number != number {
                     return Err(ConfigUpdateError::MissingUpdate);
                 }
-                last.document.clone()
+                current.document.clone()
             }
         };
         Ok(self.last.insert(ConfigDocument { number, document }))
