--- a/crates/acaciabay/src/core/serving/lease_recovery.rs
+++ b/crates/acaciabay/src/core/serving/lease_recovery.rs
@@ -36,14 +36,14 @@
 }
 
 impl LeaseOutage {
-    /// Returns how long to hold a call that has to be answered by `until`, or `None` if it is refused at once.
-    pub fn hold_time(self, now: BootTime, until: BootTime) -> Option<Duration> {
+    /// Returns how long to hold a call that has to be answered by `deadline`, or `None` if it is refused at once.
+    pub fn hold_time(self, now: BootTime, deadline: BootTime) -> Option<Duration> {
         let Self::SinceStart(started_at) = self else {
             return None;
         };
-        let expected = (started_at + FIRST_LEASE_TIMEOUT).since(now);
-        let left = until.since(now + MIN_ANSWER_TIME);
-        let hold_time = expected.min(left);
+        let until_timeout = (started_at + FIRST_LEASE_TIMEOUT).since(now);
+        let until_deadline = deadline.since(now + MIN_ANSWER_TIME);
+        let hold_time = until_timeout.min(until_deadline);
         (!hold_time.is_zero()).then_some(hold_time)
     }
 
