--- a/crates/acaciabay/src/core/serving/pending_renewals.rs
+++ b/crates/acaciabay/src/core/serving/pending_renewals.rs
@@ -32,14 +32,14 @@
 /// Unanswered renewals of one session, oldest first.
 #[derive(Clone, Debug)]
 pub struct PendingRenewals<H> {
-    last: u64,
+    last_number: u64,
     pending: VecDeque<PendingRenewal<H>>,
 }
 
 impl<H> Default for PendingRenewals<H> {
     fn default() -> Self {
         Self {
-            last: 0,
+            last_number: 0,
             pending: VecDeque::new(),
         }
     }
@@ -48,13 +48,13 @@
 impl<H> PendingRenewals<H> {
     /// Records a request for a renewal and returns its number.
     pub fn record_request(&mut self, now: BootTime, held: H) -> u64 {
-        self.last += 1;
+        self.last_number += 1;
         self.pending.push_back(PendingRenewal {
-            number: self.last,
+            number: self.last_number,
             requested_at: now,
             held,
         });
-        self.last
+        self.last_number
     }
 
     /// Removes and returns the renewal with this number, which was answered. Returns `None` if no such renewal is
@@ -73,8 +73,8 @@
     ///
     /// After the same time without a confirmed lease, an entry asks all replicas.
     pub fn can_request(&self, now: BootTime) -> bool {
-        let last = self.pending.back();
-        last.is_none_or(|last| now.since(last.requested_at) >= LEADER_TIMEOUT && self.pending.len() < MAX_PENDING)
+        let newest = self.pending.back();
+        newest.is_none_or(|newest| now.since(newest.requested_at) >= LEADER_TIMEOUT && self.pending.len() < MAX_PENDING)
     }
 
     /// Returns the newest renewal if it has been pending for at least [`LEADER_TIMEOUT`].
@@ -82,7 +82,7 @@
     /// The older ones have then been pending for longer. Each new request gives the replica another [`LEADER_TIMEOUT`]
     /// to answer any of them.
     pub fn overdue(&self, now: BootTime) -> Option<&PendingRenewal<H>> {
-        let last = self.pending.back();
-        last.filter(|last| now.since(last.requested_at) >= LEADER_TIMEOUT)
+        let newest = self.pending.back();
+        newest.filter(|newest| now.since(newest.requested_at) >= LEADER_TIMEOUT)
     }
 }
