--- a/crates/acaciabay/src/core/serving/replica_tracker.rs
+++ b/crates/acaciabay/src/core/serving/replica_tracker.rs
@@ -20,15 +20,18 @@
 
 /// Replica that has reported its voters.
 #[derive(Clone, Debug, Default)]
-struct ReplicaReport {
+struct KnownReplica {
+    /// Voters that it last reported.
     voters: BTreeSet<SocketAddr>,
+    /// True while the entry has a session with it.
     is_connected: bool,
 }
 
 /// State of the control group as an entry knows it.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaTracker {
-    reports: BTreeMap<SocketAddr, ReplicaReport>,
+    replicas: BTreeMap<SocketAddr, KnownReplica>,
+    /// Presumed leader.
     leader: Option<SocketAddr>,
     confirmed_at: Option<BootTime>,
 }
@@ -36,14 +39,14 @@
 impl ReplicaTracker {
     /// Records the voters that a replica reports.
     pub fn record_voters(&mut self, replica: SocketAddr, voters: BTreeSet<SocketAddr>) {
-        // A disconnected replica that this one no longer lists has left the group.
-        self.reports
-            .retain(|other, report| report.is_connected || voters.contains(other));
-        let report = ReplicaReport {
+        // A disconnected replica that is missing from the new report has left the group.
+        self.replicas
+            .retain(|address, known| known.is_connected || voters.contains(address));
+        let known = KnownReplica {
             voters,
             is_connected: true,
         };
-        self.reports.insert(replica, report);
+        self.replicas.insert(replica, known);
     }
 
     /// Records that the session with a replica has ended. If it was the presumed leader, there is none any more.
@@ -51,16 +54,16 @@
     /// Its report is kept. If all sessions are lost and the seeds, which are the replica addresses in the settings,
     /// were replaced, the reports may be the only way to reconnect.
     pub fn mark_disconnected(&mut self, replica: SocketAddr) {
-        if let Some(report) = self.reports.get_mut(&replica) {
-            report.is_connected = false;
+        if let Some(known) = self.replicas.get_mut(&replica) {
+            known.is_connected = false;
         }
         self.clear_leader(replica);
     }
 
     /// Returns the replicas to keep sessions with: the seeds, and all voters in any report.
     pub fn session_targets(&self, seeds: impl IntoIterator<Item = SocketAddr>) -> BTreeSet<SocketAddr> {
-        let named = self.reports.values().flat_map(|report| report.voters.iter().copied());
-        named.chain(seeds).collect()
+        let reported = self.replicas.values().flat_map(|known| known.voters.iter().copied());
+        reported.chain(seeds).collect()
     }
 
     /// Records that a replica has confirmed the lease, which only the leader can.
