--- a/crates/acaciabay/src/core/serving/start_counts.rs
+++ b/crates/acaciabay/src/core/serving/start_counts.rs
@@ -70,26 +70,31 @@
 impl GatheredCounts {
     /// Merges a report. A count lower than the stored one comes from an old report and is ignored.
     pub fn merge(&mut self, row: &GatheredRow) {
-        let held = self
+        let stored_counts = self
             .windows
             .entry(row.window)
             .or_default()
             .entry(row.entry)
             .or_default();
         for (customer, count) in &row.counts {
-            let known = held.entry(customer.clone()).or_default();
-            *known = (*known).max(*count);
+            let stored = stored_counts.entry(customer.clone()).or_default();
+            *stored = (*stored).max(*count);
         }
     }
 
     /// Returns true if a report contains a count higher than the stored one.
     pub fn has_new_counts(&self, row: &GatheredRow) -> bool {
-        let held = self
+        let stored_counts = self
             .windows
             .get(&row.window)
             .and_then(|entries| entries.get(&row.entry));
-        let known = |customer| held.and_then(|held| held.get(customer)).copied().unwrap_or_default();
-        row.counts.iter().any(|(customer, count)| *count > known(customer))
+        let stored = |customer| {
+            stored_counts
+                .and_then(|counts| counts.get(customer))
+                .copied()
+                .unwrap_or_default()
+        };
+        row.counts.iter().any(|(customer, count)| *count > stored(customer))
     }
 
     /// Returns the totals of a window over all entries.
@@ -116,6 +121,6 @@
 
     /// Removes `window` and all windows before it.
     pub fn remove_through(&mut self, window: WindowNumber) {
-        self.windows.retain(|known, _| *known > window);
+        self.windows.retain(|stored, _| *stored > window);
     }
 }
