--- a/crates/acacia-entry/src/serving/shared.rs
+++ b/crates/acacia-entry/src/serving/shared.rs
@@ -23,7 +23,7 @@
 use acaciabay::core::serving::prompt::PromptShape;
 use acaciabay::core::serving::reading_pace::{PrefillPace, PrefillTime};
 use acaciabay::core::serving::retry_limiter::{RetryLimit, RetryLimiter};
-use acaciabay::core::serving::start_counts::{StartCounts, WindowNumber};
+use acaciabay::core::serving::start_counts::{CallCounts, WindowNumber};
 use acaciabay::core::serving::stop_phase::StopPhase;
 use acaciabay::util::number::whole_millis;
 use parking_lot::{Mutex, MutexGuard};
@@ -68,7 +68,7 @@
     pub(super) heard_endpoints: bool,
     pub(super) loads: LoadTable,
     pub(super) entries: u32,
-    pub(super) starts: StartCounts,
+    pub(super) starts: CallCounts,
     pub(super) clock: GroupClock,
     /// What engines have read for this entry and for others.
     pub(super) kept_news: CachedPartOutbox,
--- a/crates/acaciabay/src/core/serving/start_counts.rs
+++ b/crates/acaciabay/src/core/serving/start_counts.rs
@@ -24,11 +24,11 @@
 
 /// Counts of the calls that one entry process has started.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct StartCounts {
+pub struct CallCounts {
     windows: BTreeMap<WindowNumber, CustomerCounts>,
 }
 
-impl StartCounts {
+impl CallCounts {
     /// Counts a call that has started.
     pub fn count(&mut self, window: WindowNumber, customer: &CustomerName) {
         let counts = self.windows.entry(window).or_default();
--- a/crates/acaciabay/tests/serving/counts.rs
+++ b/crates/acaciabay/tests/serving/counts.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use acaciabay::core::name::CustomerName;
-use acaciabay::core::serving::start_counts::{EntryStart, GatheredCounts, GatheredRow, StartCounts, WindowNumber};
+use acaciabay::core::serving::start_counts::{CallCounts, EntryStart, GatheredCounts, GatheredRow, WindowNumber};
 use proptest::prelude::*;
 
 use crate::fixtures::fixed_cases;
@@ -36,7 +36,7 @@
 
 #[test]
 fn an_entry_forgets_old_windows() {
-    let mut starts = StartCounts::default();
+    let mut starts = CallCounts::default();
     starts.count(WindowNumber(1), &"c".into());
     starts.count(WindowNumber(5), &"c".into());
 
