--- a/crates/acaciabay/src/core/serving/config.rs
+++ b/crates/acaciabay/src/core/serving/config.rs
@@ -121,19 +121,19 @@
     /// [`EngineStage`](super::endpoint_registry::EngineStage).
     pub stage_switch_time: Duration,
     /// Link over which engines copy KV cache to each other, if they can.
-    pub link: Option<MemoryLink>,
+    pub link: Option<KvCacheLink>,
 }
 
 /// Network link over which engines copy KV cache to each other.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct MemoryLink {
+pub struct KvCacheLink {
     /// Size of one token in the KV cache, in bytes.
     pub token_bytes: u64,
     /// Bandwidth of one engine in either direction, in bits per second.
     pub bits_per_second: f64,
 }
 
-impl MemoryLink {
+impl KvCacheLink {
     /// Returns how many milliseconds it takes to copy the KV cache of `tokens` tokens within a failure domain.
     pub fn copy_ms(&self, tokens: f64) -> f64 {
         tokens * self.token_bytes as f64 * 8.0 * 1_000.0 / self.bits_per_second
--- a/crates/acaciabay/src/ops/place_prompt.rs
+++ b/crates/acaciabay/src/ops/place_prompt.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use crate::core::name::EndpointName;
-use crate::core::serving::config::MemoryLink;
+use crate::core::serving::config::KvCacheLink;
 use crate::core::serving::endpoint_registry::{EndpointPhase, ServingEndpoint};
 use crate::core::serving::prompt::PromptShape;
 use crate::ops::place_call::{Candidate, EndpointPenalty, PlacementView};
@@ -71,7 +71,7 @@
     /// Usual prefill time per prompt token in milliseconds, if known.
     pub pace: Option<f64>,
     /// The link over which engines copy memory to each other. Without one, each engine prefills all parts itself.
-    pub link: Option<&'table MemoryLink>,
+    pub link: Option<&'table KvCacheLink>,
 }
 
 /// The engine chosen to prefill a prompt.
@@ -287,7 +287,7 @@
     }
 }
 
-fn copy_ms(link: &MemoryLink, tokens: f64, reader: &ServingEndpoint, source: &ServingEndpoint) -> f64 {
+fn copy_ms(link: &KvCacheLink, tokens: f64, reader: &ServingEndpoint, source: &ServingEndpoint) -> f64 {
     let factor = if reader.domain == source.domain {
         1.0
     } else {
--- a/crates/acaciabay/tests/serving/fixtures.rs
+++ b/crates/acaciabay/tests/serving/fixtures.rs
@@ -7,7 +7,7 @@
 use acaciabay::core::clock::BootTime;
 use acaciabay::core::name::{DomainName, EndpointName};
 use acaciabay::core::serving::config::{
-    CallKind, CallRoute, ConfigNumber, CustomerRow, EngineSpec, MemoryLink, PoolSpec, RequestLimits, RouteShare,
+    CallKind, CallRoute, ConfigNumber, CustomerRow, EngineSpec, KvCacheLink, PoolSpec, RequestLimits, RouteShare,
     ServiceSpec, ServingConfig,
 };
 use acaciabay::core::serving::endpoint_load::EndpointWork;
@@ -62,8 +62,8 @@
 }
 
 /// A link that copies the KV memory of a shared part of 13,000 tokens in 10 ms.
-pub(crate) fn link() -> MemoryLink {
-    MemoryLink {
+pub(crate) fn link() -> KvCacheLink {
+    KvCacheLink {
         token_bytes: 20_000,
         bits_per_second: 208e9,
     }
