--- a/crates/acacia-entry/src/serving/control_sessions.rs
+++ b/crates/acacia-entry/src/serving/control_sessions.rs
@@ -79,7 +79,7 @@
                 if !keep {
                     session.abort();
                     self.replicas.lock().mark_disconnected(*address);
-                    self.shared.view().clock.forget(address);
+                    self.shared.view().clock.remove(address);
                     slog::info!(self.shared.log, "session with a replica given up"; "event" => event::CONTROL_LOST,
                         "replica" => %address, "reason" => "no replica names it");
                 }
@@ -114,7 +114,7 @@
         loop {
             let ended = self.use_session(address, &mut was_open).await;
             self.replicas.lock().mark_disconnected(address);
-            self.shared.view().clock.forget(&address);
+            self.shared.view().clock.remove(&address);
             if std::mem::take(&mut was_open) {
                 slog::warn!(self.shared.log, "session with a replica lost"; "event" => event::CONTROL_LOST,
                     "replica" => %address, "reason" => ended.err().map(|error| error.to_string()));
--- a/crates/acaciabay/src/core/serving/group_clock.rs
+++ b/crates/acaciabay/src/core/serving/group_clock.rs
@@ -25,7 +25,7 @@
     }
 
     /// Removes a replica that is no longer connected.
-    pub fn forget(&mut self, replica: &SocketAddr) {
+    pub fn remove(&mut self, replica: &SocketAddr) {
         self.offsets_millis.remove(replica);
     }
 
--- a/crates/acaciabay/tests/serving/clock.rs
+++ b/crates/acaciabay/tests/serving/clock.rs
@@ -31,7 +31,7 @@
     clock.record(at(0), replica(2), 52_000);
     clock.record(at(0), replica(3), 50_000);
 
-    clock.forget(&replica(3));
+    clock.remove(&replica(3));
 
     assert_eq!(clock.wall_millis(at(0)), None);
 }
