--- a/crates/acacia-entry/src/serving/shared.rs
+++ b/crates/acacia-entry/src/serving/shared.rs
@@ -24,7 +24,7 @@
 use acaciabay::core::serving::reading_pace::{PrefillPace, PrefillTime};
 use acaciabay::core::serving::retry_limiter::{RetryLimit, RetryLimiter};
 use acaciabay::core::serving::start_counts::{CallCounts, WindowNumber};
-use acaciabay::core::serving::stop_phase::StopPhase;
+use acaciabay::core::serving::stop_state::StopState;
 use acaciabay::util::number::whole_millis;
 use parking_lot::{Mutex, MutexGuard};
 use slog::Logger;
@@ -139,7 +139,7 @@
     /// Cancelled once the process is to stop: it takes calls on, but asks callers to go elsewhere.
     pub(super) leaving: CancellationToken,
     started_at: BootTime,
-    stop_phase: Mutex<StopPhase>,
+    stop_phase: Mutex<StopState>,
     lease: Arc<LeaseClock>,
     /// Wakes the calls that wait for a lease.
     lease_extended: Notify,
--- a/crates/acaciabay/src/core/serving/mod.rs
+++ b/crates/acaciabay/src/core/serving/mod.rs
@@ -21,7 +21,7 @@
 //!   for it.
 //! * [`issued_order`] tracks the outcome of an order for endpoints.
 //! * [`lease_recovery`] determines whether a call is held or refused while an entry has no lease.
-//! * [`stop_phase`] determines whether an entry that is stopping still accepts calls.
+//! * [`stop_state`] determines whether an entry that is stopping still accepts calls.
 //! * [`retry_limiter`] limits retries, and [`duty`] numbers the successive hosts that act for the system.
 //!
 //! `docs/design/machines.md` describes the programs that combine these modules.
@@ -49,5 +49,5 @@
 pub mod serving_state;
 pub mod shared_suspicion;
 pub mod start_counts;
-pub mod stop_phase;
+pub mod stop_state;
 pub mod stream_peak;
--- a/crates/acaciabay/src/core/serving/stop_phase.rs
+++ b/crates/acaciabay/src/core/serving/stop_state.rs
@@ -14,9 +14,9 @@
 
 /// State of an entry with regard to stopping: the time of the stop request, if there was one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct StopPhase(Option<BootTime>);
+pub struct StopState(Option<BootTime>);
 
-impl StopPhase {
+impl StopState {
     /// Records a stop request. Later requests have no effect.
     pub fn request_stop(&mut self, now: BootTime) {
         self.0.get_or_insert(now);
--- a/crates/acaciabay/tests/serving/stopping.rs
+++ b/crates/acaciabay/tests/serving/stopping.rs
@@ -1,6 +1,6 @@
 //! Tests of the calls that a stopping entry accepts.
 
-use acaciabay::core::serving::stop_phase::StopPhase;
+use acaciabay::core::serving::stop_state::StopState;
 
 use crate::fixtures::at;
 
@@ -8,12 +8,12 @@
 /// starts after three of the eight seconds is cut off when the process ends, and its caller has to retry.
 #[test]
 fn calls_are_refused_before_their_answers_would_be_cut() {
-    let mut phase = StopPhase::default();
+    let mut state = StopState::default();
 
-    assert!(phase.accepts_calls(at(60_000)));
-    phase.request_stop(at(60_000));
-    phase.request_stop(at(62_000));
+    assert!(state.accepts_calls(at(60_000)));
+    state.request_stop(at(60_000));
+    state.request_stop(at(62_000));
 
-    assert!(phase.accepts_calls(at(62_500)));
-    assert!(!phase.accepts_calls(at(63_000)));
+    assert!(state.accepts_calls(at(62_500)));
+    assert!(!state.accepts_calls(at(63_000)));
 }
