--- a/crates/acacia-entry/src/serving/shared.rs
+++ b/crates/acacia-entry/src/serving/shared.rs
@@ -23,8 +23,8 @@
 use acaciabay::core::serving::prompt::PromptShape;
 use acaciabay::core::serving::reading_pace::{PrefillPace, PrefillTime};
 use acaciabay::core::serving::retry_limiter::{RetryLimit, RetryLimiter};
-use acaciabay::core::serving::start_counts::{StartCounts, WindowNumber};
-use acaciabay::core::serving::stop_phase::StopPhase;
+use acaciabay::core::serving::start_counts::{CallCounts, WindowNumber};
+use acaciabay::core::serving::stop_state::StopState;
 use acaciabay::util::number::whole_millis;
 use parking_lot::{Mutex, MutexGuard};
 use slog::Logger;
@@ -69,7 +69,7 @@
     pub(super) heard_endpoints: bool,
     pub(super) loads: LoadTable,
     pub(super) entries: u32,
-    pub(super) starts: StartCounts,
+    pub(super) starts: CallCounts,
     pub(super) clock: GroupClock,
     /// Announcements of the prompt parts that engines have cached.
     pub(super) kept_news: CachedPartOutbox,
@@ -142,7 +142,7 @@
     /// `Connection: close`, so that callers go to other entries.
     pub(super) stopping: CancellationToken,
     started_at: BootTime,
-    stop_phase: Mutex<StopPhase>,
+    stop_phase: Mutex<StopState>,
     lease: Arc<LeaseEnd>,
     /// Notifies the calls that wait for a lease.
     lease_extended: Notify,
--- a/crates/acaciabay/src/core/serving/config.rs
+++ b/crates/acaciabay/src/core/serving/config.rs
@@ -78,10 +78,11 @@
 }
 
 impl CallRoute {
-    /// Returns how long a caller waits for the first or next event before it abandons the stream.
+    /// Returns how long a caller is assumed to wait for the first or next event before it abandons the stream.
     ///
-    /// Callers abandon a stream after the longest of three times: a fixed minimum, a multiple of the target latency,
-    /// and a multiple of the target gap. Work for a caller that has left is wasted.
+    /// This is the longest of three times: a fixed minimum, a multiple of the target latency, and a multiple of the
+    /// target gap. An engine that is silent must be replaced before that, because answering a caller that has left is
+    /// wasted work.
     pub fn event_timeout(&self) -> Duration {
         const MIN_TIMEOUT: Duration = Duration::from_secs(2);
         const LATENCY_FACTOR: u32 = 4;
@@ -90,15 +91,17 @@
         MIN_TIMEOUT.max(self.target_latency * LATENCY_FACTOR).max(gaps)
     }
 
-    /// Selects the service for a call. `draw` must be uniformly distributed over all values of `u64`.
-    pub fn pick_service(&self, draw: u64) -> Option<&ServiceName> {
+    /// Selects the service for a call according to the weights, or returns `None` if the weights add up to 0.
+    ///
+    /// `random` must be uniformly distributed over all values of `u64`.
+    pub fn pick_service(&self, random: u64) -> Option<&ServiceName> {
         let total: u64 = self.shares.iter().map(|share| share.weight).sum();
-        let mut left = draw.checked_rem(total)?;
+        let mut remainder = random.checked_rem(total)?;
         for share in &self.shares {
-            if left < share.weight {
+            if remainder < share.weight {
                 return Some(&share.service);
             }
-            left -= share.weight;
+            remainder -= share.weight;
         }
         None
     }
@@ -111,24 +114,26 @@
     pub slots: u32,
     /// Capacity of one engine's KV cache, in tokens.
     pub memory_tokens: u64,
-    /// Time for which an engine keeps a prompt that it has read, so that another engine can copy it.
+    /// Time for which an engine keeps the KV cache of a prompt that it has prefilled, so that another engine can copy
+    /// it.
     pub retention: Duration,
-    /// Time for which an engine is unavailable while it changes its stage.
+    /// Time for which an engine is unavailable while it switches between prefilling and decoding. See
+    /// [`EngineStage`](super::endpoint_registry::EngineStage).
     pub stage_switch_time: Duration,
     /// Link over which engines copy KV cache to each other, if they can.
-    pub link: Option<MemoryLink>,
+    pub link: Option<KvCacheLink>,
 }
 
-/// Speed at which KV cache is copied from one engine to another.
+/// Network link over which engines copy KV cache to each other.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct MemoryLink {
+pub struct KvCacheLink {
     /// Size of one token in the KV cache, in bytes.
     pub token_bytes: u64,
     /// Bandwidth of one engine in either direction, in bits per second.
     pub bits_per_second: f64,
 }
 
-impl MemoryLink {
+impl KvCacheLink {
     /// Returns how many milliseconds it takes to copy the KV cache of `tokens` tokens within a failure domain.
     pub fn copy_ms(&self, tokens: f64) -> f64 {
         tokens * self.token_bytes as f64 * 8.0 * 1_000.0 / self.bits_per_second
@@ -179,7 +184,7 @@
 pub struct CustomerRow {
     /// Name of the customer.
     pub name: CustomerName,
-    /// Digests of the customer's keys.
+    /// Digests of the access keys that identify calls of this customer.
     pub keys: Vec<ContentDigest>,
     /// Priority of the customer's calls. It overrides the priority of the route.
     pub priority: Option<u8>,
@@ -221,10 +226,10 @@
     /// All of them are reported at once, so that an operator does not have to find them one by one.
     pub fn findings(&self) -> Vec<ConfigFinding> {
         let mut findings = Vec::new();
-        let mut places = BTreeSet::new();
+        let mut host_prefixes = BTreeSet::new();
         for route in &self.routes {
             self.check_route(route, &mut findings);
-            if !places.insert((&route.host, &route.prefix)) {
+            if !host_prefixes.insert((&route.host, &route.prefix)) {
                 findings.push(finding(&route.name, "another route has the same host and prefix"));
             }
         }
--- a/crates/acaciabay/src/core/serving/group_clock.rs
+++ b/crates/acaciabay/src/core/serving/group_clock.rs
@@ -25,11 +25,12 @@
     }
 
     /// Removes a replica that is no longer connected.
-    pub fn forget(&mut self, replica: &SocketAddr) {
+    pub fn remove(&mut self, replica: &SocketAddr) {
         self.offsets_millis.remove(replica);
     }
 
-    /// Returns the median time in milliseconds since 1970, or `None` if too few replicas are known.
+    /// Returns the median time in milliseconds since 1970, or `None` if the clocks of too few replicas are known. For
+    /// an even number of replicas it is the later of the two middle times.
     pub fn wall_millis(&self, now: BootTime) -> Option<u64> {
         if self.offsets_millis.len() < MIN_REPLICAS {
             return None;
--- a/crates/acaciabay/src/core/serving/start_counts.rs
+++ b/crates/acaciabay/src/core/serving/start_counts.rs
@@ -1,7 +1,8 @@
-//! Counts of started calls by wall-clock window and customer.
+//! Counts of calls that have started to run, by wall-clock window and customer.
 //!
-//! An entry keeps absolute counts and reports them repeatedly. The leader keeps the highest count of each entry, so a
-//! duplicate report changes nothing, and a new leader gets the full counts from the next report.
+//! An entry reports the total of each window so far, not the increase since its last report, and repeats it. The
+//! control group keeps the highest count that each entry process has reported for each window and customer, so a
+//! duplicate or late report changes nothing, and a new leader gets the full counts from the next report.
 
 use std::collections::BTreeMap;
 
@@ -21,13 +22,13 @@
 /// Counts by customer.
 pub type CustomerCounts = BTreeMap<CustomerName, u64>;
 
-/// Counts of one entry process.
+/// Counts of the calls that one entry process has started.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct StartCounts {
+pub struct CallCounts {
     windows: BTreeMap<WindowNumber, CustomerCounts>,
 }
 
-impl StartCounts {
+impl CallCounts {
     /// Counts a call that has started.
     pub fn count(&mut self, window: WindowNumber, customer: &CustomerName) {
         let counts = self.windows.entry(window).or_default();
@@ -45,22 +46,22 @@
     }
 }
 
-/// Identifies one start of an entry process.
+/// Identifies one run of an entry process. A restarted process has another identifier, because its counts begin at 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EntryStart(pub u64);
 
-/// Counts of one entry process in one window.
+/// Report of the counts of one entry process in one window.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GatheredRow {
     /// Entry process that counted.
     pub entry: EntryStart,
     /// Window of the counts.
     pub window: WindowNumber,
-    /// Counts so far.
+    /// Totals of the window so far.
     pub counts: CustomerCounts,
 }
 
-/// Counts of all entries.
+/// Reported counts of all entries.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GatheredCounts {
     windows: BTreeMap<WindowNumber, BTreeMap<EntryStart, CustomerCounts>>,
@@ -69,26 +70,31 @@
 impl GatheredCounts {
     /// Merges a report. A count lower than the stored one comes from an old report and is ignored.
     pub fn merge(&mut self, row: &GatheredRow) {
-        let held = self
+        let stored_counts = self
             .windows
             .entry(row.window)
             .or_default()
             .entry(row.entry)
             .or_default();
         for (customer, count) in &row.counts {
-            let known = held.entry(customer.clone()).or_default();
-            *known = (*known).max(*count);
+            let stored = stored_counts.entry(customer.clone()).or_default();
+            *stored = (*stored).max(*count);
         }
     }
 
     /// Returns true if a report contains a count higher than the stored one.
     pub fn has_new_counts(&self, row: &GatheredRow) -> bool {
-        let held = self
+        let stored_counts = self
             .windows
             .get(&row.window)
             .and_then(|entries| entries.get(&row.entry));
-        let known = |customer| held.and_then(|held| held.get(customer)).copied().unwrap_or_default();
-        row.counts.iter().any(|(customer, count)| *count > known(customer))
+        let stored = |customer| {
+            stored_counts
+                .and_then(|counts| counts.get(customer))
+                .copied()
+                .unwrap_or_default()
+        };
+        row.counts.iter().any(|(customer, count)| *count > stored(customer))
     }
 
     /// Returns the totals of a window over all entries.
@@ -102,7 +108,7 @@
         totals
     }
 
-    /// Returns all rows.
+    /// Returns the stored counts as one report per entry process and window.
     pub fn rows(&self) -> impl Iterator<Item = GatheredRow> {
         self.windows.iter().flat_map(|(window, entries)| {
             entries.iter().map(|(entry, counts)| GatheredRow {
@@ -115,6 +121,6 @@
 
     /// Removes `window` and all windows before it.
     pub fn remove_through(&mut self, window: WindowNumber) {
-        self.windows.retain(|known, _| *known > window);
+        self.windows.retain(|stored, _| *stored > window);
     }
 }
