--- a/crates/acacia-entry/src/serving/attempt.rs
+++ b/crates/acacia-entry/src/serving/attempt.rs
@@ -186,13 +186,13 @@
         "outcome" => ?outcome, "reason" => reason, "after_ms" => whole_millis(boot_now().since(sent_at)),
         "report" => chosen.endpoint.sequence);
     metrics::counter!("acacia_attempts_failed_total").increment(1);
-    let mut view = call.shared.view();
+    let mut state = call.shared.state();
     match outcome {
-        AttemptOutcome::NotRun { arrived: false } => view.loads.note_unreachable(boot_now(), &chosen.name),
-        AttemptOutcome::Lost | AttemptOutcome::TimedOut => view.loads.note_silent(boot_now(), &chosen.name),
-        _ => view.loads.note_failure(boot_now(), &chosen.name),
+        AttemptOutcome::NotRun { arrived: false } => state.loads.note_unreachable(boot_now(), &chosen.name),
+        AttemptOutcome::Lost | AttemptOutcome::TimedOut => state.loads.note_silent(boot_now(), &chosen.name),
+        _ => state.loads.note_failure(boot_now(), &chosen.name),
     }
-    drop(view);
+    drop(state);
     outcome
 }
 
@@ -212,6 +212,6 @@
     slog::info!(call.shared.log, "endpoint suspected"; "event" => event::ENDPOINT_DOUBTED,
         "request" => &call.head.request, "endpoint" => chosen.name.as_str(),
         "sent_ms" => whole_millis(now.since(sent_at)), "report" => chosen.endpoint.sequence);
-    call.shared.view().loads.note_silent(now, &chosen.name);
+    call.shared.state().loads.note_silent(now, &chosen.name);
     std::future::pending().await
 }
--- a/crates/acacia-entry/src/serving/call.rs
+++ b/crates/acacia-entry/src/serving/call.rs
@@ -86,8 +86,8 @@
     let request = head.map(|head| head.request.as_str());
     let now = boot_now();
     let (number, standing) = {
-        let view = shared.view();
-        (view.held.number, view.standing)
+        let state = shared.state();
+        (state.config.number, state.freshness)
     };
     slog::info!(shared.log, "call refused"; "event" => event::CALL_REFUSED, "request" => request,
         "path" => head.map(|head| head.path.as_str()), "refusal" => ?refusal,
@@ -126,7 +126,7 @@
         hold_for_first_lease(shared, &parts, received_at).await;
     }
     let now = boot_now();
-    let index = shared.view().index.clone();
+    let index = shared.state().index.clone();
     let max_head_bytes = index
         .as_ref()
         .map_or(usize::MAX, |index| index.config().limits.head_bytes);
--- a/crates/acacia-entry/src/serving/config_intake.rs
+++ b/crates/acacia-entry/src/serving/config_intake.rs
@@ -73,7 +73,7 @@
     /// Fails if the document cannot be parsed.
     pub(super) fn install_config(&self, arrival: &ConfigArrival) -> io::Result<()> {
         let number = arrival.config.number;
-        let before = self.view().held.number;
+        let before = self.state().config.number;
         if number <= before {
             return Ok(());
         }
@@ -83,14 +83,14 @@
             io::Error::other("configuration cannot be read")
         })?;
         let index = Arc::new(ConfigIndex::new(config));
-        let mut view = self.view();
-        if number <= view.held.number {
+        let mut state = self.state();
+        if number <= state.config.number {
             return Ok(());
         }
-        let told_at = view.standing.behind_since(view.held.number);
-        view.held = arrival.config.clone();
-        view.index = Some(index);
-        drop(view);
+        let told_at = state.freshness.behind_since(state.config.number);
+        state.config = arrival.config.clone();
+        state.index = Some(index);
+        drop(state);
         self.log_installed(arrival, before, told_at);
         Ok(())
     }
--- a/crates/acacia-entry/src/serving/control_sessions.rs
+++ b/crates/acacia-entry/src/serving/control_sessions.rs
@@ -82,7 +82,7 @@
                 if !keep {
                     session.abort();
                     self.replicas.lock().mark_disconnected(*address);
-                    self.shared.view().clock.forget(address);
+                    self.shared.state().group_clock.forget(address);
                     slog::info!(self.shared.log, "session with a replica closed"; "event" => event::CONTROL_LOST,
                         "replica" => %address, "reason" => "no replica names it");
                 }
@@ -117,7 +117,7 @@
         loop {
             let ended = self.use_session(address, &mut was_open).await;
             self.replicas.lock().mark_disconnected(address);
-            self.shared.view().clock.forget(&address);
+            self.shared.state().group_clock.forget(&address);
             if std::mem::take(&mut was_open) {
                 slog::warn!(self.shared.log, "session with a replica lost"; "event" => event::CONTROL_LOST,
                     "replica" => %address, "reason" => ended.err().map(|error| error.to_string()));
@@ -161,7 +161,7 @@
             self.doubt_late_leader(now, address, session);
             let should_ask = self.replicas.lock().should_ask(now, address);
             if should_ask && session.lock().renewals.can_request(now) {
-                let held = self.shared.view().held.clone();
+                let held = self.shared.state().config.clone();
                 let config_number = held.number;
                 let number = session.lock().renewals.record_request(now, held);
                 self.log_ask(now, address, number);
@@ -195,23 +195,23 @@
     /// Records the number of a committed configuration that a replica has announced. Returns true if it is higher than
     /// that of the held configuration.
     fn take_told(&self, address: SocketAddr, number: ConfigNumber) -> bool {
-        let mut view = self.shared.view();
-        if number <= view.held.number {
+        let mut state = self.shared.state();
+        if number <= state.config.number {
             return false;
         }
-        if view.standing.record_announced(boot_now(), number) {
+        if state.freshness.record_announced(boot_now(), number) {
             slog::info!(self.shared.log, "newer configuration announced"; "event" => event::CONFIG_TOLD,
-                "number" => number.0, "held" => view.held.number.0, "replica" => %address);
+                "number" => number.0, "held" => state.config.number.0, "replica" => %address);
         }
         true
     }
 
     fn log_ask(&self, now: BootTime, address: SocketAddr, asked: u64) {
-        let view = self.shared.view();
-        let held = view.held.number;
-        if let Some(told_at) = view.standing.behind_since(held) {
+        let state = self.shared.state();
+        let held = state.config.number;
+        if let Some(told_at) = state.freshness.behind_since(held) {
             slog::info!(self.shared.log, "newer configuration requested"; "event" => event::CONFIG_ASKED,
-                "asked" => asked, "told" => view.standing.announced().0, "held" => held.0, "replica" => %address,
+                "asked" => asked, "told" => state.freshness.announced().0, "held" => held.0, "replica" => %address,
                 "told_ms" => whole_millis(now.since(told_at)));
         }
     }
@@ -263,7 +263,11 @@
                     self.ask_at_once();
                 }
                 Body::Resting(resting) => take_resting(&self.shared, &resting),
-                Body::Alive(sign) => self.shared.view().clock.record(boot_now(), address, sign.wall_ms),
+                Body::Alive(sign) => self
+                    .shared
+                    .state()
+                    .group_clock
+                    .record(boot_now(), address, sign.wall_ms),
                 Body::Renew(_) => return Err(std::io::ErrorKind::InvalidData.into()),
             }
         }
@@ -291,19 +295,19 @@
         self.log_late(now, address, renewed.request, &arrival);
         self.replicas.lock().record_confirmed(now, address);
         self.shared.install_config(&arrival)?;
-        let mut view = self.shared.view();
+        let mut state = self.shared.state();
         // Another replica has meanwhile sent a newer configuration, so this answer confirms an outdated one.
-        if view.held.number != arrival.config.number {
+        if state.config.number != arrival.config.number {
             return Ok(());
         }
-        view.entries = entries;
-        view.loads.hear_others(others.iter().map(use_from_wire));
-        view.loads.hear_silent(silent.iter().map(EndpointName::new));
+        state.entry_count = entries;
+        state.loads.hear_others(others.iter().map(use_from_wire));
+        state.loads.hear_silent(silent.iter().map(EndpointName::new));
         for kept in &kept {
-            view.record_cached_part(&kept_from_wire(kept));
+            state.record_cached_part(&kept_from_wire(kept));
         }
-        let is_behind = view.standing.behind_since(view.held.number).is_some();
-        drop(view);
+        let is_behind = state.freshness.behind_since(state.config.number).is_some();
+        drop(state);
         self.shared.confirm_lease(arrival.asked_at);
         if is_behind {
             self.ask_at_once();
--- a/crates/acacia-entry/src/serving/endpoint_choice.rs
+++ b/crates/acacia-entry/src/serving/endpoint_choice.rs
@@ -7,7 +7,7 @@
 use acaciabay::ops::place_call::{PlacementView, place_plain, place_stream};
 use acaciabay::ops::place_prompt::{PromptEngines, PromptPlace, place_prompt};
 
-use super::shared::{EntryShared, EntryView};
+use super::shared::{EntryShared, EntryState};
 
 /// Endpoint to which a call is sent, as it was when it was chosen.
 #[derive(Clone, Debug)]
@@ -34,15 +34,15 @@
         tried: &[EndpointName],
         request_hash: u64,
     ) -> Option<ChosenEndpoint> {
-        let view = self.view();
-        let candidates = without_tried(view.registry.ready(now, service), tried);
-        let name = place_plain(&self.placement(now, &view), &candidates, request_hash)?;
+        let state = self.state();
+        let candidates = without_tried(state.registry.ready(now, service), tried);
+        let name = place_plain(&self.placement(now, &state), &candidates, request_hash)?;
         find_chosen(&candidates, &name)
     }
 
     /// Returns true if the service has separate engines for prefill that take calls at present.
     pub(super) fn has_prefill_engines(&self, now: BootTime, service: &ServiceName) -> bool {
-        !available_of_stage(&self.view(), now, service, EngineStage::Prefill).is_empty()
+        !available_of_stage(&self.state(), now, service, EngineStage::Prefill).is_empty()
     }
 
     /// Chooses an engine to prefill a prompt.
@@ -53,18 +53,18 @@
         tried: &[EndpointName],
         prompt: &PromptShape,
     ) -> Option<ChosenPrefillEngine> {
-        let view = self.view();
-        let readers = without_tried(available_of_stage(&view, now, service, EngineStage::Prefill), tried);
-        let mut keepers = view.registry.answering(now, service);
+        let state = self.state();
+        let readers = without_tried(available_of_stage(&state, now, service, EngineStage::Prefill), tried);
+        let mut keepers = state.registry.answering(now, service);
         keepers.retain(|(_, endpoint)| endpoint.stage == Some(EngineStage::Prefill));
-        let spec = view.engine_spec(service);
+        let spec = state.engine_spec(service);
         let engines = PromptEngines {
             readers: &readers,
             keepers: &keepers,
-            pace: view.prefill_pace(service),
+            pace: state.prefill_pace(service),
             link: spec.as_ref().and_then(|spec| spec.link.as_ref()),
         };
-        let place = place_prompt(&self.placement(now, &view), &engines, prompt)?;
+        let place = place_prompt(&self.placement(now, &state), &engines, prompt)?;
         let copy_from = place.copy_from.as_ref().and_then(|name| find_chosen(&keepers, name));
         Some(ChosenPrefillEngine {
             engine: find_chosen(&readers, &place.endpoint)?,
@@ -83,16 +83,16 @@
         request_hash: u64,
     ) -> Option<ChosenEndpoint> {
         let memory = self.engine_memory(service);
-        let view = self.view();
-        let mut candidates = available_of_stage(&view, now, service, EngineStage::Decode);
+        let state = self.state();
+        let mut candidates = available_of_stage(&state, now, service, EngineStage::Decode);
         if candidates.is_empty() {
             // Endpoints that report no stage both prefill and decode.
-            candidates = view.registry.ready(now, service);
+            candidates = state.registry.ready(now, service);
             candidates.retain(|(_, endpoint)| endpoint.stage.is_none());
         }
         let candidates = without_tried(candidates, tried);
         let name = place_stream(
-            &self.placement(now, &view),
+            &self.placement(now, &state),
             &candidates,
             memory,
             prefill_domain,
@@ -101,29 +101,29 @@
         find_chosen(&candidates, &name)
     }
 
-    fn placement<'view>(&'view self, now: BootTime, view: &'view EntryView) -> PlacementView<'view> {
+    fn placement<'state>(&'state self, now: BootTime, state: &'state EntryState) -> PlacementView<'state> {
         PlacementView {
             now,
             domain: &self.domain,
-            loads: &view.loads,
+            loads: &state.loads,
         }
     }
 }
 
-type EndpointRow<'view> = (&'view EndpointName, &'view ServingEndpoint);
+type EndpointRow<'state> = (&'state EndpointName, &'state ServingEndpoint);
 
-fn available_of_stage<'view>(
-    view: &'view EntryView,
+fn available_of_stage<'state>(
+    entry: &'state EntryState,
     now: BootTime,
-    service: &'view ServiceName,
+    service: &'state ServiceName,
     stage: EngineStage,
-) -> Vec<EndpointRow<'view>> {
-    let mut rows = view.registry.ready(now, service);
-    rows.retain(|(name, endpoint)| endpoint.stage == Some(stage) && !view.loads.is_resting(now, name, endpoint));
+) -> Vec<EndpointRow<'state>> {
+    let mut rows = entry.registry.ready(now, service);
+    rows.retain(|(name, endpoint)| endpoint.stage == Some(stage) && !entry.loads.is_resting(now, name, endpoint));
     rows
 }
 
-fn without_tried<'view>(mut rows: Vec<EndpointRow<'view>>, tried: &[EndpointName]) -> Vec<EndpointRow<'view>> {
+fn without_tried<'state>(mut rows: Vec<EndpointRow<'state>>, tried: &[EndpointName]) -> Vec<EndpointRow<'state>> {
     rows.retain(|(name, _)| !tried.contains(name));
     rows
 }
--- a/crates/acacia-entry/src/serving/endpoint_news.rs
+++ b/crates/acacia-entry/src/serving/endpoint_news.rs
@@ -16,8 +16,8 @@
 /// Applies the reports that endpoints have sent to a replica.
 pub(super) fn take_news(shared: &EntryShared, news: &EndpointNews) {
     let now = boot_now();
-    let mut view = shared.view();
-    view.heard_endpoints = true;
+    let mut state = shared.state();
+    state.has_endpoints = true;
     for row in &news.rows {
         let (name, endpoint) = match endpoint_from_wire(row) {
             Ok(read) => read,
@@ -28,7 +28,7 @@
             }
         };
         let phase = endpoint.phase;
-        if view.registry.hear(now, &name, endpoint) == ReportEffect::Changed {
+        if state.registry.hear(now, &name, endpoint) == ReportEffect::Changed {
             slog::info!(shared.log, "endpoint changed"; "event" => event::ENDPOINT_CHANGED,
                 "endpoint" => name.as_str(), "phase" => ?phase, "sequence" => row.sequence, "birth" => row.birth);
         }
@@ -42,7 +42,7 @@
         .engines
         .iter()
         .filter_map(|engine| resting_from_wire(now, engine));
-    shared.view().loads.hear_resting(engines);
+    shared.state().loads.hear_resting(engines);
 }
 
 fn resting_from_wire(now: BootTime, engine: &RestingEngine) -> Option<(EndpointName, RestingOrder)> {
--- a/crates/acacia-entry/src/serving/plain_call.rs
+++ b/crates/acacia-entry/src/serving/plain_call.rs
@@ -182,17 +182,17 @@
     let Ok(Some(whole)) = tokio::time::timeout(left, read_to_end(incoming)).await else {
         slog::info!(call.shared.log, "answer broke off"; "event" => event::ATTEMPT_FAILED,
             "request" => &call.head.request, "endpoint" => chosen.name.as_str());
-        call.shared.view().loads.note_failure(boot_now(), &chosen.name);
+        call.shared.state().loads.note_failure(boot_now(), &chosen.name);
         return None;
     };
     connection.return_to_pool(call).await;
-    let mut view = call.shared.view();
+    let mut state = call.shared.state();
     if status.is_server_error() {
-        view.loads.note_failure(boot_now(), &chosen.name);
+        state.loads.note_failure(boot_now(), &chosen.name);
     } else {
-        view.loads.note_success(&chosen.name);
+        state.loads.note_success(&chosen.name);
     }
-    drop(view);
+    drop(state);
     Some(build_response(status, headers, full_body(whole)))
 }
 
--- a/crates/acacia-entry/src/serving/prefill.rs
+++ b/crates/acacia-entry/src/serving/prefill.rs
@@ -156,7 +156,7 @@
         calls: 1,
         held_tokens: 0,
     };
-    let queued = call.shared.view().loads.work(&chosen.name).unread_tokens;
+    let queued = call.shared.state().loads.work(&chosen.name).unread_tokens;
     let _guard = call.shared.add_work(&chosen.name, work);
     let bound = place.wait.mul_f64(PREFILL_TIMEOUT_FACTOR) + PREFILL_TIMEOUT_MARGIN;
     let timeouts = AttemptTimeouts {
@@ -167,7 +167,7 @@
     };
     // Recorded before the answer arrives, so that calls with the same parts go to this engine meanwhile.
     let memory = call.shared.engine_memory(&call.service);
-    call.shared.view().loads.note_read(&chosen.name, &prompt.parts, memory);
+    call.shared.state().loads.note_read(&chosen.name, &prompt.parts, memory);
     let outcome = send(
         call,
         chosen,
@@ -195,23 +195,23 @@
         "expected_ms" => whole_millis(place.wait), "took_ms" => whole_millis(took));
     metrics::histogram!("acacia_prompt_read_seconds").record(took.as_secs_f64());
     metrics::histogram!("acacia_prompt_wait_error_seconds").record(took.as_secs_f64() - place.wait.as_secs_f64());
-    let mut view = call.shared.view();
+    let mut state = call.shared.state();
     let reading = ReadingTime {
         queued,
         unread: place.unread_tokens,
         took,
     };
-    view.record_prefill_time(&call.service, &chosen.name, reading);
+    state.record_prefill_time(&call.service, &chosen.name, reading);
     if let Some(source) = copy_from
         && is_source_lost(&source.endpoint, place.wait, took)
     {
         slog::info!(call.shared.log, "copy source suspected"; "event" => event::ATTEMPT_FAILED,
             "request" => &call.head.request, "endpoint" => source.name.as_str(), "took_ms" => whole_millis(took));
-        view.loads.note_unreachable(boot_now(), &source.name);
+        state.loads.note_unreachable(boot_now(), &source.name);
     }
-    view.loads.note_success(&chosen.name);
-    view.kept_news.note_read(&chosen.name, prompt.shared_parts());
-    drop(view);
+    state.loads.note_success(&chosen.name);
+    state.kept_news.note_read(&chosen.name, prompt.shared_parts());
+    drop(state);
     PrefillOutcome::Prefilled(PrefilledPrompt {
         address: chosen.endpoint.address,
         handle,
@@ -222,8 +222,8 @@
 }
 
 fn record_demand(call: &AcceptedCall, place: &PromptPlace) {
-    let mut view = call.shared.view();
-    let demand = view.demands.entry(call.service.clone()).or_default();
+    let mut state = call.shared.state();
+    let demand = state.demands.entry(call.service.clone()).or_default();
     demand.unread_tokens += place.unread_tokens;
     demand.wait_us = demand
         .wait_us
@@ -243,7 +243,7 @@
     if handle.is_none() {
         slog::info!(call.shared.log, "prompt was not read"; "event" => event::PROMPT_READ,
             "request" => &call.head.request, "endpoint" => chosen.name.as_str(), "status" => status.as_u16());
-        call.shared.view().loads.note_failure(boot_now(), &chosen.name);
+        call.shared.state().loads.note_failure(boot_now(), &chosen.name);
     }
     handle
 }
--- a/crates/acacia-entry/src/serving/renewal_message.rs
+++ b/crates/acacia-entry/src/serving/renewal_message.rs
@@ -17,17 +17,17 @@
 /// Removes the demand and the announcements of cached parts from the state, since each is reported only once. All other
 /// values are absolute and repeated in every request.
 pub(super) fn renewal_frame(shared: &EntryShared, number: u64, held: ConfigNumber) -> Frame {
-    let mut view = shared.view();
-    let uses = view
+    let mut state = shared.state();
+    let uses = state
         .loads
         .own_work()
         .map(|(name, work)| use_to_wire(name, work))
         .collect();
-    let kept = view.kept_news.take();
-    let demands = std::mem::take(&mut view.demands);
+    let kept = state.kept_news.take();
+    let demands = std::mem::take(&mut state.demands);
     let paces: BTreeMap<_, _> = demands
         .keys()
-        .map(|service| (service.clone(), pace_to_wire(view.prefill_pace(service))))
+        .map(|service| (service.clone(), pace_to_wire(state.prefill_pace(service))))
         .collect();
     let demands = demands.into_iter().map(|(service, demand)| ServiceDemand {
         service: service.to_string(),
@@ -37,8 +37,8 @@
         pace_us: paces.get(&service).copied().unwrap_or(0),
         wait_us: demand.wait_us,
     });
-    let counts = view
-        .starts
+    let counts = state
+        .start_counts
         .windows()
         .map(|(window, counts)| counts_to_wire(window, counts));
     let request = RenewServing {
@@ -47,7 +47,7 @@
         counts: counts.collect(),
         uses,
         demands: demands.collect(),
-        silent: view
+        silent: state
             .loads
             .silent_endpoints(boot_now())
             .map(ToString::to_string)
--- a/crates/acacia-entry/src/serving/shared.rs
+++ b/crates/acacia-entry/src/serving/shared.rs
@@ -59,27 +59,27 @@
 
 /// Mutable state of the entry: the configuration, the endpoints, and the counters for the next report.
 #[derive(Debug, Default)]
-pub(super) struct EntryView {
+pub(super) struct EntryState {
     pub(super) index: Option<Arc<ConfigIndex>>,
     /// Configuration from which `index` was built.
-    pub(super) held: ConfigDocument,
-    pub(super) standing: ConfigFreshness,
+    pub(super) config: ConfigDocument,
+    pub(super) freshness: ConfigFreshness,
     pub(super) registry: EndpointRegistry,
     /// True once a replica has sent the endpoints that it knows.
-    pub(super) heard_endpoints: bool,
+    pub(super) has_endpoints: bool,
     pub(super) loads: LoadTable,
-    pub(super) entries: u32,
-    pub(super) starts: StartCounts,
-    pub(super) clock: GroupClock,
+    pub(super) entry_count: u32,
+    pub(super) start_counts: StartCounts,
+    pub(super) group_clock: GroupClock,
     /// Announcements of the prompt parts that engines have cached.
     pub(super) kept_news: KeptNews,
     pub(super) demands: BTreeMap<ServiceName, DemandCount>,
     prefill_paces: BTreeMap<ServiceName, ReadingPace>,
     answer_paces: BTreeMap<ServiceName, AnswerPace>,
-    budgets: HashMap<ServiceName, RetryLimiter>,
+    retry_limiters: HashMap<ServiceName, RetryLimiter>,
 }
 
-impl EntryView {
+impl EntryState {
     /// Returns the specification of a service's engines, if the configuration has one.
     pub(super) fn engine_spec(&self, service: &ServiceName) -> Option<EngineSpec> {
         let spec = self.index.as_ref()?.config().services.get(service)?;
@@ -146,7 +146,7 @@
     lease: Arc<LeaseEnd>,
     /// Notifies the calls that wait for a lease.
     lease_extended: Notify,
-    view: Mutex<EntryView>,
+    state: Mutex<EntryState>,
 }
 
 /// End of the serving lease, in microseconds of the boot clock. It only moves forward.
@@ -178,7 +178,7 @@
 
 impl Drop for LoadGuard {
     fn drop(&mut self) {
-        self.shared.view().loads.end(&self.endpoint, self.work);
+        self.shared.state().loads.end(&self.endpoint, self.work);
     }
 }
 
@@ -211,12 +211,12 @@
             stop_phase: Mutex::default(),
             lease,
             lease_extended: Notify::new(),
-            view: Mutex::default(),
+            state: Mutex::default(),
         }
     }
 
-    pub(super) fn view(&self) -> MutexGuard<'_, EntryView> {
-        self.view.lock()
+    pub(super) fn state(&self) -> MutexGuard<'_, EntryState> {
+        self.state.lock()
     }
 
     /// Returns true if the entry has a valid lease at `now`.
@@ -251,14 +251,15 @@
 
     /// Returns true if the held configuration is recent enough to deny a call by it.
     pub(super) fn may_deny(&self, now: BootTime) -> bool {
-        let view = self.view();
-        view.standing
-            .may_deny(now, view.held.number, self.settings.config_in_force)
+        let state = self.state();
+        state
+            .freshness
+            .may_deny(now, state.config.number, self.settings.config_in_force)
     }
 
     /// Extends the lease after the leader has confirmed it in answer to a request sent at `asked_at`.
     pub(super) fn confirm_lease(&self, asked_at: BootTime) {
-        self.view().standing.record_confirmed(asked_at);
+        self.state().freshness.record_confirmed(asked_at);
         self.lease
             .extend(asked_at + self.settings.key_withdrawal.mul_f64(LEASE_FRACTION));
         self.lease_extended.notify_waiters();
@@ -276,20 +277,21 @@
 
     /// Returns true if the balancer should send callers to this entry.
     pub(super) fn is_ready(&self, now: BootTime) -> bool {
-        let view = self.view();
-        let knows_all = view.index.is_some() && view.heard_endpoints;
+        let state = self.state();
+        let knows_all = state.index.is_some() && state.has_endpoints;
         knows_all && self.has_lease(now) && !self.stopping.is_cancelled()
     }
 
     /// Records an accepted call for the retry limit and the demand of its service.
     pub(super) fn record_call(&self, now: BootTime, service: &ServiceName, prompt: Option<&PromptShape>) {
         let limit = self.retry_limit();
-        let mut view = self.view();
-        view.budgets
+        let mut state = self.state();
+        state
+            .retry_limiters
             .entry(service.clone())
             .or_default()
             .record_call(now, &limit);
-        let demand = view.demands.entry(service.clone()).or_default();
+        let demand = state.demands.entry(service.clone()).or_default();
         demand.calls += 1;
         demand.output_tokens += prompt.map_or(0, |prompt| prompt.output_tokens);
     }
@@ -297,9 +299,9 @@
     /// Acquires one retry from the retry limit of a service. Returns false if the limit is reached.
     pub(super) fn acquire_retry(&self, now: BootTime, service: &ServiceName) -> bool {
         let limit = self.retry_limit();
-        let mut view = self.view();
-        let entries = view.entries;
-        let budget = view.budgets.entry(service.clone()).or_default();
+        let mut state = self.state();
+        let entries = state.entry_count;
+        let budget = state.retry_limiters.entry(service.clone()).or_default();
         let granted = budget.try_acquire(now, &limit, entries);
         if !granted {
             metrics::counter!("acacia_send_budget_exhausted_total").increment(1);
@@ -320,20 +322,21 @@
     pub(super) fn count_start(&self, customer: Option<&CustomerName>) {
         let Some(customer) = customer else { return };
         let length = whole_millis(self.settings.usage_window).max(1);
-        let mut view = self.view();
-        let wall_millis = view
-            .clock
+        let mut state = self.state();
+        let wall_millis = state
+            .group_clock
             .wall_millis(boot_now())
             .unwrap_or_else(|| wall_nanos() / 1_000_000);
         let window = WindowNumber::at(wall_millis, length);
-        view.starts.count(window, customer);
-        view.starts
+        state.start_counts.count(window, customer);
+        state
+            .start_counts
             .remove_before(WindowNumber(window.0.saturating_sub(REPORTED_WINDOWS)));
     }
 
     /// Counts work as outstanding at an endpoint until the returned guard is dropped.
     pub(super) fn add_work(self: &Arc<Self>, endpoint: &EndpointName, work: EndpointWork) -> LoadGuard {
-        self.view().loads.begin(endpoint, work);
+        self.state().loads.begin(endpoint, work);
         LoadGuard {
             shared: Arc::clone(self),
             endpoint: endpoint.clone(),
@@ -343,7 +346,7 @@
 
     /// Returns the memory size of a service's engines in tokens, or 0 if the configuration has no engines for it.
     pub(super) fn engine_memory(&self, service: &ServiceName) -> u64 {
-        self.view()
+        self.state()
             .engine_spec(service)
             .map_or(0, |engine| engine.memory_tokens)
     }
--- a/crates/acacia-entry/src/serving/start.rs
+++ b/crates/acacia-entry/src/serving/start.rs
@@ -117,7 +117,7 @@
 }
 
 fn bounds_now(shared: &EntryShared) -> ServerBounds {
-    let Some(index) = shared.view().index.clone() else {
+    let Some(index) = shared.state().index.clone() else {
         return FIRST_BOUNDS;
     };
     let bounds = index.config().limits;
@@ -140,11 +140,11 @@
         let is_ready = shared.is_ready(now);
         if is_ready != was_ready {
             was_ready = is_ready;
-            let view = shared.view();
+            let state = shared.state();
             slog::info!(shared.log, "readiness changed"; "event" => event::READINESS_CHANGED, "ready" => is_ready,
-                "config" => view.held.number.0, "endpoints" => view.registry.rows().count(),
+                "config" => state.config.number.0, "endpoints" => state.registry.rows().count(),
                 "lease" => shared.has_lease(now), "leaving" => shared.stopping.is_cancelled());
         }
-        shared.view().forget_silent(now);
+        shared.state().forget_silent(now);
     }
 }
--- a/crates/acacia-entry/src/serving/stream_body.rs
+++ b/crates/acacia-entry/src/serving/stream_body.rs
@@ -136,7 +136,7 @@
             return false;
         };
         let call = &self.attempts.call;
-        call.shared.view().loads.note_failure(boot_now(), &endpoint);
+        call.shared.state().loads.note_failure(boot_now(), &endpoint);
         let can_retry = self.attempts.acquire_retry();
         slog::info!(call.shared.log, "stream broke off"; "event" => event::ATTEMPT_FAILED,
             "request" => &call.head.request, "endpoint" => endpoint.as_str(), "reason" => reason,
@@ -172,7 +172,7 @@
         slog::info!(call.shared.log, "stream ended"; "event" => event::CALL_ENDED, "request" => &call.head.request,
             "endpoint" => stream.endpoint.as_str(), "events" => self.events,
             "after_ms" => whole_millis(boot_now().since(call.received_at)));
-        call.shared.view().loads.note_success(&stream.endpoint);
+        call.shared.state().loads.note_success(&stream.endpoint);
         drop(stream.guard);
         stream.connection.return_to_pool(call).await;
     }
--- a/crates/acacia-entry/src/serving/stream_call.rs
+++ b/crates/acacia-entry/src/serving/stream_call.rs
@@ -146,7 +146,7 @@
                     self.possible_runs += 1;
                     let (parts, incoming) = reply.response.into_parts();
                     if parts.status.is_server_error() && self.acquire_retry() {
-                        self.call.shared.view().loads.note_failure(boot_now(), &chosen.name);
+                        self.call.shared.state().loads.note_failure(boot_now(), &chosen.name);
                         prefilled = None;
                         tried.push(chosen.name);
                         continue;
@@ -200,7 +200,7 @@
         let Some(prompt) = &self.call.head.prompt else {
             return Ok(None);
         };
-        let pace = self.call.shared.view().prefill_pace(&self.call.service);
+        let pace = self.call.shared.state().prefill_pace(&self.call.service);
         if is_read_by_maker(prompt, pace) || !self.call.shared.has_prefill_engines(boot_now(), &self.call.service) {
             return Ok(None);
         }
@@ -224,7 +224,7 @@
             reader: prefilled.address,
             handle: &prefilled.handle,
         });
-        let suspect_after = self.call.shared.view().suspicion_timeout(&self.call.service);
+        let suspect_after = self.call.shared.state().suspicion_timeout(&self.call.service);
         let timeouts = AttemptTimeouts {
             suspect_after,
             give_up_after: self.first_answer_timeout(suspect_after),
@@ -233,7 +233,7 @@
         let outcome = send(&self.call, chosen, role, resume_after, timeouts).await;
         if matches!(outcome, AttemptOutcome::Answered(_)) {
             let took = boot_now().since(sent_at);
-            self.call.shared.view().record_first_answer(&self.call.service, took);
+            self.call.shared.state().record_first_answer(&self.call.service, took);
         }
         outcome
     }
