--- a/crates/acacia-entry/src/serving/control_sessions.rs
+++ b/crates/acacia-entry/src/serving/control_sessions.rs
@@ -39,44 +39,44 @@
 /// Time for which sent data may remain unacknowledged before the kernel closes the connection.
 const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Time without received data after which a session counts as lost. Replicas send a message every half second.
-const SILENCE: Duration = Duration::from_millis(1_500);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Delay before a lost connection is opened again.
-const RECONNECT_PAUSE: Duration = Duration::from_millis(150);
+const RECONNECT_DELAY: Duration = Duration::from_millis(150);
 
 /// Sessions with all replicas, and the state that they share.
 #[derive(Debug)]
-pub(super) struct SessionBoard {
+pub(super) struct SessionManager {
     shared: Arc<EntryShared>,
     /// Random identifier of this start of the process.
-    start: u64,
+    start_id: u64,
     replicas: Mutex<ReplicaTracker>,
     /// Notified when a replica has reported the voters.
-    heard_voters: Notify,
+    voters_reported: Notify,
     seeds: watch::Receiver<Vec<SocketAddr>>,
     /// Counter of the events upon which a renewal is requested at once: the announcement of a newer configuration, or a
     /// replica that became leader.
-    reasons: watch::Sender<u64>,
+    renewal_triggers: watch::Sender<u64>,
 }
 
-impl SessionBoard {
-    pub(super) fn new(shared: Arc<EntryShared>, start: u64, seeds: watch::Receiver<Vec<SocketAddr>>) -> Self {
+impl SessionManager {
+    pub(super) fn new(shared: Arc<EntryShared>, start_id: u64, seeds: watch::Receiver<Vec<SocketAddr>>) -> Self {
         Self {
             shared,
-            start,
+            start_id,
             replicas: Mutex::default(),
-            heard_voters: Notify::new(),
+            voters_reported: Notify::new(),
             seeds,
-            reasons: watch::Sender::new(0),
+            renewal_triggers: watch::Sender::new(0),
         }
     }
 
     /// Opens and closes sessions as voters and seeds change, until `stop` is cancelled.
-    pub(super) async fn keep_sessions(self: Arc<Self>, stop: CancellationToken) {
+    pub(super) async fn run_sessions(self: Arc<Self>, stop: CancellationToken) {
         let mut seeds = self.seeds.clone();
         let mut sessions: BTreeMap<SocketAddr, JoinHandle<()>> = BTreeMap::new();
         loop {
-            let heard = self.heard_voters.notified();
-            let wanted = self.wanted_replicas(&seeds.borrow_and_update());
+            let heard = self.voters_reported.notified();
+            let wanted = self.session_targets(&seeds.borrow_and_update());
             sessions.retain(|address, session| {
                 let keep = wanted.contains(address);
                 if !keep {
@@ -89,9 +89,9 @@
                 keep
             });
             for address in wanted {
-                let board = Arc::clone(&self);
+                let this = Arc::clone(&self);
                 let session = sessions.entry(address);
-                session.or_insert_with(|| tokio::spawn(async move { board.keep_session(address).await }));
+                session.or_insert_with(|| tokio::spawn(async move { this.maintain_session(address).await }));
             }
             tokio::select! {
                 () = stop.cancelled() => break,
@@ -106,34 +106,34 @@
 
     /// Returns the replicas to keep sessions with: the reported voters and the seeds. If every voter has been replaced,
     /// only the seeds lead back to the group.
-    fn wanted_replicas(&self, seeds: &[SocketAddr]) -> BTreeSet<SocketAddr> {
+    fn session_targets(&self, seeds: &[SocketAddr]) -> BTreeSet<SocketAddr> {
         let port = self.shared.settings.peer_port;
         let seeds = seeds.iter().map(|seed| SocketAddr::new(seed.ip(), port));
         self.replicas.lock().session_targets(seeds)
     }
 
-    async fn keep_session(self: Arc<Self>, address: SocketAddr) {
+    async fn maintain_session(self: Arc<Self>, address: SocketAddr) {
         let mut was_open = false;
         loop {
-            let ended = self.use_session(address, &mut was_open).await;
+            let ended = self.run_session(address, &mut was_open).await;
             self.replicas.lock().mark_disconnected(address);
             self.shared.state().group_clock.forget(&address);
             if std::mem::take(&mut was_open) {
                 slog::warn!(self.shared.log, "session with a replica lost"; "event" => event::CONTROL_LOST,
                     "replica" => %address, "reason" => ended.err().map(|error| error.to_string()));
             }
-            tokio::time::sleep(RECONNECT_PAUSE).await;
+            tokio::time::sleep(RECONNECT_DELAY).await;
         }
     }
 
-    async fn use_session(&self, address: SocketAddr, was_open: &mut bool) -> std::io::Result<()> {
+    async fn run_session(&self, address: SocketAddr, was_open: &mut bool) -> std::io::Result<()> {
         let stream = connect_within(address, CONNECT_TIMEOUT, TCP_USER_TIMEOUT).await?;
         let (reader, mut writer) = split_frames(stream);
         let settings = &self.shared.settings;
         let hello = ServingHello {
             host: settings.host.clone(),
             domain: settings.failure_domain.clone(),
-            start: self.start,
+            start: self.start_id,
             entry: true,
             takes_deltas: true,
         };
@@ -144,43 +144,43 @@
         let session = Mutex::new(ReplicaSession::default());
         tokio::select! {
             ended = self.read_frames(address, reader, &session) => ended,
-            ended = self.ask_renewals(address, writer, &session) => ended,
+            ended = self.send_renewals(address, writer, &session) => ended,
         }
     }
 
-    async fn ask_renewals(
+    async fn send_renewals(
         &self,
         address: SocketAddr,
         mut writer: FrameWriter<TcpStream>,
         session: &Mutex<ReplicaSession>,
     ) -> std::io::Result<()> {
-        let mut reasons = self.reasons.subscribe();
+        let mut renewal_triggers = self.renewal_triggers.subscribe();
         loop {
-            reasons.mark_unchanged();
+            renewal_triggers.mark_unchanged();
             let now = boot_now();
-            self.doubt_late_leader(now, address, session);
+            self.clear_overdue_leader(now, address, session);
             let should_ask = self.replicas.lock().should_ask(now, address);
             if should_ask && session.lock().renewals.can_request(now) {
                 let held = self.shared.state().config.clone();
                 let config_number = held.number;
                 let number = session.lock().renewals.record_request(now, held);
-                self.log_ask(now, address, number);
+                self.log_config_request(now, address, number);
                 writer.send(renewal_frame(&self.shared, number, config_number)).await?;
             }
             tokio::select! {
                 () = tokio::time::sleep(RENEWAL_INTERVAL) => {}
-                _ = reasons.changed() => {}
+                _ = renewal_triggers.changed() => {}
             }
         }
     }
 
     /// Makes every session check at once if it has to request a renewal. A session that is sending does so afterwards.
-    fn ask_at_once(&self) {
-        self.reasons.send_modify(|count| *count += 1);
+    fn trigger_renewals(&self) {
+        self.renewal_triggers.send_modify(|count| *count += 1);
     }
 
     /// Clears the presumed leader if it is this replica and its answer is overdue. All replicas are then asked.
-    fn doubt_late_leader(&self, now: BootTime, address: SocketAddr, session: &Mutex<ReplicaSession>) {
+    fn clear_overdue_leader(&self, now: BootTime, address: SocketAddr, session: &Mutex<ReplicaSession>) {
         let session = session.lock();
         let Some(overdue) = session.renewals.overdue(now) else {
             return;
@@ -194,7 +194,7 @@
 
     /// Records the number of a committed configuration that a replica has announced. Returns true if it is higher than
     /// that of the held configuration.
-    fn take_told(&self, address: SocketAddr, number: ConfigNumber) -> bool {
+    fn record_announced(&self, address: SocketAddr, number: ConfigNumber) -> bool {
         let mut state = self.shared.state();
         if number <= state.config.number {
             return false;
@@ -206,7 +206,7 @@
         true
     }
 
-    fn log_ask(&self, now: BootTime, address: SocketAddr, asked: u64) {
+    fn log_config_request(&self, now: BootTime, address: SocketAddr, asked: u64) {
         let state = self.shared.state();
         let held = state.config.number;
         if let Some(told_at) = state.freshness.behind_since(held) {
@@ -216,7 +216,7 @@
         }
     }
 
-    fn log_late(&self, now: BootTime, address: SocketAddr, asked: u64, arrival: &ConfigArrival) {
+    fn log_late_renewal(&self, now: BootTime, address: SocketAddr, asked: u64, arrival: &ConfigArrival) {
         let took = now.since(arrival.asked_at);
         if took >= LEADER_TIMEOUT {
             metrics::counter!("acacia_renewals_late_total").increment(1);
@@ -232,12 +232,12 @@
         mut reader: FrameReader<TcpStream>,
         session: &Mutex<ReplicaSession>,
     ) -> std::io::Result<()> {
-        while let Some(frame) = reader.next_within(SILENCE).await? {
+        while let Some(frame) = reader.next_within(SILENCE_TIMEOUT).await? {
             let Frame::Serving(ServingFrame { body: Some(body) }) = frame else {
                 return Err(std::io::ErrorKind::InvalidData.into());
             };
             match body {
-                Body::Renewed(renewed) => self.take_renewal(address, session, renewed)?,
+                Body::Renewed(renewed) => self.handle_renewal(address, session, renewed)?,
                 Body::Elsewhere(elsewhere) => {
                     session.lock().renewals.complete(elsewhere.request);
                     let named: Option<SocketAddr> = elsewhere.leader_address.parse().ok();
@@ -248,19 +248,19 @@
                     let voters: BTreeSet<_> = replicas.addresses.iter().filter_map(|text| text.parse().ok()).collect();
                     if !voters.is_empty() {
                         self.replicas.lock().record_voters(address, voters);
-                        self.heard_voters.notify_one();
+                        self.voters_reported.notify_one();
                     }
                 }
                 Body::NewerConfig(number) => {
-                    if self.take_told(address, ConfigNumber(number)) {
-                        self.ask_at_once();
+                    if self.record_announced(address, ConfigNumber(number)) {
+                        self.trigger_renewals();
                     }
                 }
                 Body::Leads(_) => {
                     self.replicas.lock().record_leader_claim(address);
                     slog::info!(self.shared.log, "leader found"; "event" => event::CONTROL_FOUND,
                         "replica" => %address, "reason" => "it says that it leads");
-                    self.ask_at_once();
+                    self.trigger_renewals();
                 }
                 Body::Resting(resting) => take_resting(&self.shared, &resting),
                 Body::Alive(sign) => self
@@ -276,7 +276,7 @@
 
     /// Handles the answer to a renewal: installs the configuration in it, applies the reports of other entries and extends
     /// the lease.
-    fn take_renewal(
+    fn handle_renewal(
         &self,
         address: SocketAddr,
         session: &Mutex<ReplicaSession>,
@@ -292,7 +292,7 @@
         } = renewed;
         let number = ConfigNumber(renewed.config_number);
         let arrival = session.lock().take(now, renewed.request, number, renewed.content)?;
-        self.log_late(now, address, renewed.request, &arrival);
+        self.log_late_renewal(now, address, renewed.request, &arrival);
         self.replicas.lock().record_confirmed(now, address);
         self.shared.install_config(&arrival)?;
         let mut state = self.shared.state();
@@ -310,7 +310,7 @@
         drop(state);
         self.shared.confirm_lease(arrival.asked_at);
         if is_behind {
-            self.ask_at_once();
+            self.trigger_renewals();
         }
         Ok(())
     }
--- a/crates/acacia-entry/src/serving/start.rs
+++ b/crates/acacia-entry/src/serving/start.rs
@@ -19,7 +19,7 @@
 
 use super::call;
 use super::codec::CallCodec;
-use super::control_sessions::SessionBoard;
+use super::control_sessions::SessionManager;
 use super::shared::EntryShared;
 
 /// Maximum number of open connections from callers. The remaining file descriptors are for endpoints and replicas.
@@ -59,13 +59,13 @@
         "seeds" => ?settings.seed_addresses);
     let grace = settings.stop_grace.saturating_sub(STOP_MARGIN);
     let shared = Arc::new(EntryShared::new(settings, codec, stop.clone(), log.clone()));
-    let board = Arc::new(SessionBoard::new(Arc::clone(&shared), draw_start()?, seeds));
+    let sessions = Arc::new(SessionManager::new(Arc::clone(&shared), draw_start()?, seeds));
     // Shutdown has two steps after `stop`: `closing` closes the callers' connections once the balancer has had time to
     // react, and `ended` stops the background tasks once the calls have ended.
     let closing = CancellationToken::new();
     let ended = CancellationToken::new();
     let background = TaskTracker::new();
-    background.spawn(board.keep_sessions(ended.clone()));
+    background.spawn(sessions.run_sessions(ended.clone()));
     background.spawn(watch_readiness(Arc::clone(&shared), ended.clone()));
     let asked = Arc::clone(&shared);
     background.spawn(serve_http(
