--- a/crates/acacia-entry/src/serving/config_intake.rs
+++ b/crates/acacia-entry/src/serving/config_install.rs
@@ -21,16 +21,16 @@
 #[derive(Debug, Default)]
 pub(super) struct ReplicaSession {
     pub(super) renewals: PendingRenewals<ConfigDocument>,
-    taken: ConfigReceiver,
+    receiver: ConfigReceiver,
 }
 
 /// Configuration that a replica has sent or confirmed in its answer to a renewal.
 #[derive(Debug)]
-pub(super) struct ConfigArrival {
+pub(super) struct ReceivedConfig {
     pub(super) config: ConfigDocument,
     /// Time at which the renewal was requested.
-    pub(super) asked_at: BootTime,
-    arrived_at: BootTime,
+    pub(super) requested_at: BootTime,
+    received_at: BootTime,
     /// Size of the document or delta in the answer; 0 if it had neither.
     pub(super) bytes: usize,
 }
@@ -42,24 +42,24 @@
     /// # Errors
     ///
     /// Fails if the renewal is not pending or the content cannot be applied. The session must then be closed.
-    pub(super) fn take(
+    pub(super) fn receive_answer(
         &mut self,
         now: BootTime,
         renewal: u64,
         number: ConfigNumber,
         content: Option<serving_renewed::Content>,
-    ) -> io::Result<ConfigArrival> {
+    ) -> io::Result<ReceivedConfig> {
         let asked = self.renewals.complete(renewal);
         let asked = asked.ok_or_else(|| io::Error::other("answer to a renewal that is not open"))?;
         let bytes = content_bytes(content.as_ref());
         let content = content.map(content_from_wire).transpose();
         let taken = self
-            .taken
+            .receiver
             .receive(number, content.map_err(io::Error::other)?, &asked.held);
-        Ok(ConfigArrival {
+        Ok(ReceivedConfig {
             config: taken.map_err(io::Error::other)?.clone(),
-            asked_at: asked.requested_at,
-            arrived_at: now,
+            requested_at: asked.requested_at,
+            received_at: now,
             bytes,
         })
     }
@@ -71,13 +71,13 @@
     /// # Errors
     ///
     /// Fails if the document cannot be parsed.
-    pub(super) fn install_config(&self, arrival: &ConfigArrival) -> io::Result<()> {
-        let number = arrival.config.number;
-        let before = self.state().config.number;
-        if number <= before {
+    pub(super) fn install_config(&self, received: &ReceivedConfig) -> io::Result<()> {
+        let number = received.config.number;
+        let previous = self.state().config.number;
+        if number <= previous {
             return Ok(());
         }
-        let config = self.codec.read_config(&arrival.config.document).map_err(|findings| {
+        let config = self.codec.read_config(&received.config.document).map_err(|findings| {
             slog::error!(self.log, "configuration is invalid"; "event" => event::CONFIG_UNREADABLE,
                 "number" => number.0, "findings" => ?findings);
             io::Error::other("configuration cannot be read")
@@ -87,23 +87,23 @@
         if number <= state.config.number {
             return Ok(());
         }
-        let told_at = state.freshness.behind_since(state.config.number);
-        state.config = arrival.config.clone();
+        let announced_at = state.freshness.behind_since(state.config.number);
+        state.config = received.config.clone();
         state.index = Some(index);
         drop(state);
-        self.log_installed(arrival, before, told_at);
+        self.log_installed(received, previous, announced_at);
         Ok(())
     }
 
-    fn log_installed(&self, arrival: &ConfigArrival, before: ConfigNumber, told_at: Option<BootTime>) {
+    fn log_installed(&self, received: &ReceivedConfig, previous: ConfigNumber, announced_at: Option<BootTime>) {
         let now = boot_now();
         slog::info!(self.log, "configuration applied"; "event" => event::SERVING_CONFIG_APPLIED,
-            "number" => arrival.config.number.0, "before" => before.0, "bytes" => arrival.bytes,
-            "told_ms" => told_at.map(|told_at| whole_millis(now.since(told_at))),
-            "asked_ms" => whole_millis(now.since(arrival.asked_at)),
-            "read_ms" => whole_millis(now.since(arrival.arrived_at)));
-        if let Some(told_at) = told_at {
-            metrics::histogram!("acacia_config_in_force_seconds").record(now.since(told_at).as_secs_f64());
+            "number" => received.config.number.0, "before" => previous.0, "bytes" => received.bytes,
+            "told_ms" => announced_at.map(|announced_at| whole_millis(now.since(announced_at))),
+            "asked_ms" => whole_millis(now.since(received.requested_at)),
+            "read_ms" => whole_millis(now.since(received.received_at)));
+        if let Some(announced_at) = announced_at {
+            metrics::histogram!("acacia_config_in_force_seconds").record(now.since(announced_at).as_secs_f64());
         }
     }
 }
--- a/crates/acacia-entry/src/serving/control_sessions.rs
+++ b/crates/acacia-entry/src/serving/control_sessions.rs
@@ -28,8 +28,8 @@
 use tokio::task::JoinHandle;
 use tokio_util::sync::CancellationToken;
 
-use super::config_intake::{ConfigArrival, ReplicaSession};
-use super::endpoint_news::{take_news, take_resting};
+use super::config_install::{ReceivedConfig, ReplicaSession};
+use super::endpoint_news::{apply_endpoint_news, apply_resting_engines};
 use super::renewal_message::renewal_frame;
 use super::shared::EntryShared;
 
@@ -209,20 +209,20 @@
     fn log_config_request(&self, now: BootTime, address: SocketAddr, asked: u64) {
         let state = self.shared.state();
         let held = state.config.number;
-        if let Some(told_at) = state.freshness.behind_since(held) {
+        if let Some(announced_at) = state.freshness.behind_since(held) {
             slog::info!(self.shared.log, "newer configuration requested"; "event" => event::CONFIG_ASKED,
                 "asked" => asked, "told" => state.freshness.announced().0, "held" => held.0, "replica" => %address,
-                "told_ms" => whole_millis(now.since(told_at)));
+                "told_ms" => whole_millis(now.since(announced_at)));
         }
     }
 
-    fn log_late_renewal(&self, now: BootTime, address: SocketAddr, asked: u64, arrival: &ConfigArrival) {
-        let took = now.since(arrival.asked_at);
+    fn log_late_renewal(&self, now: BootTime, address: SocketAddr, asked: u64, received: &ReceivedConfig) {
+        let took = now.since(received.requested_at);
         if took >= LEADER_TIMEOUT {
             metrics::counter!("acacia_renewals_late_total").increment(1);
             slog::info!(self.shared.log, "renewal answered late"; "event" => event::RENEWAL_LATE,
-                "asked" => asked, "took_ms" => whole_millis(took), "number" => arrival.config.number.0,
-                "bytes" => arrival.bytes, "replica" => %address);
+                "asked" => asked, "took_ms" => whole_millis(took), "number" => received.config.number.0,
+                "bytes" => received.bytes, "replica" => %address);
         }
     }
 
@@ -243,7 +243,7 @@
                     let named: Option<SocketAddr> = elsewhere.leader_address.parse().ok();
                     self.replicas.lock().record_not_leader(address, named);
                 }
-                Body::News(news) => take_news(&self.shared, &news),
+                Body::News(news) => apply_endpoint_news(&self.shared, &news),
                 Body::Replicas(replicas) => {
                     let voters: BTreeSet<_> = replicas.addresses.iter().filter_map(|text| text.parse().ok()).collect();
                     if !voters.is_empty() {
@@ -262,7 +262,7 @@
                         "replica" => %address, "reason" => "it says that it leads");
                     self.trigger_renewals();
                 }
-                Body::Resting(resting) => take_resting(&self.shared, &resting),
+                Body::Resting(resting) => apply_resting_engines(&self.shared, &resting),
                 Body::Alive(sign) => self
                     .shared
                     .state()
@@ -291,13 +291,15 @@
             ..
         } = renewed;
         let number = ConfigNumber(renewed.config_number);
-        let arrival = session.lock().take(now, renewed.request, number, renewed.content)?;
-        self.log_late_renewal(now, address, renewed.request, &arrival);
+        let received = session
+            .lock()
+            .receive_answer(now, renewed.request, number, renewed.content)?;
+        self.log_late_renewal(now, address, renewed.request, &received);
         self.replicas.lock().record_confirmed(now, address);
-        self.shared.install_config(&arrival)?;
+        self.shared.install_config(&received)?;
         let mut state = self.shared.state();
         // Another replica has meanwhile sent a newer configuration, so this answer confirms an outdated one.
-        if state.config.number != arrival.config.number {
+        if state.config.number != received.config.number {
             return Ok(());
         }
         state.entry_count = entries;
@@ -308,7 +310,7 @@
         }
         let is_behind = state.freshness.behind_since(state.config.number).is_some();
         drop(state);
-        self.shared.confirm_lease(arrival.asked_at);
+        self.shared.confirm_lease(received.requested_at);
         if is_behind {
             self.trigger_renewals();
         }
--- a/crates/acacia-entry/src/serving/endpoint_news.rs
+++ b/crates/acacia-entry/src/serving/endpoint_news.rs
@@ -14,7 +14,7 @@
 use super::shared::EntryShared;
 
 /// Applies the reports that endpoints have sent to a replica.
-pub(super) fn take_news(shared: &EntryShared, news: &EndpointNews) {
+pub(super) fn apply_endpoint_news(shared: &EntryShared, news: &EndpointNews) {
     let now = boot_now();
     let mut state = shared.state();
     state.has_endpoints = true;
@@ -36,7 +36,7 @@
 }
 
 /// Replaces the set of engines that are changing their stage and therefore take no calls.
-pub(super) fn take_resting(shared: &EntryShared, resting: &RestingEngines) {
+pub(super) fn apply_resting_engines(shared: &EntryShared, resting: &RestingEngines) {
     let now = boot_now();
     let engines = resting
         .engines
--- a/crates/acacia-entry/src/serving/mod.rs
+++ b/crates/acacia-entry/src/serving/mod.rs
@@ -6,13 +6,13 @@
 //! by `attempt`.
 //!
 //! All calls use the state in `shared`, from which `endpoint_choice` selects endpoints. `control_sessions` keeps this state up to
-//! date over its sessions with the replicas: it sends the requests of `renewal_message`, and `config_intake` and
+//! date over its sessions with the replicas: it sends the requests of `renewal_message`, and `config_install` and
 //! `endpoint_news` handle what the replicas send. The wire format of calls is defined by a [`CallCodec`].
 
 mod attempt;
 mod call;
 mod codec;
-mod config_intake;
+mod config_install;
 mod control_sessions;
 mod endpoint_choice;
 mod endpoint_news;
