--- a/crates/acacia-entry/src/serving/start.rs
+++ b/crates/acacia-entry/src/serving/start.rs
@@ -23,16 +23,16 @@
 use super::shared::EntryShared;
 
 /// Maximum number of open connections from callers. The remaining file descriptors are for endpoints and replicas.
-const CONNECTIONS: usize = 2_500;
+const MAX_CALLER_CONNECTIONS: usize = 2_500;
 /// Limits for callers before the first configuration arrives. No call is served in that time.
-const FIRST_BOUNDS: ServerBounds = ServerBounds {
+const INITIAL_LIMITS: ServerBounds = ServerBounds {
     head_bytes: 64 * 1024,
     head_timeout: Duration::from_secs(15),
-    connections: CONNECTIONS,
+    connections: MAX_CALLER_CONNECTIONS,
 };
 /// Time for which new connections are accepted after the stop request. The balancer polls once a second and acts on two
 /// answers.
-const ACCEPTING_TIME: Duration = Duration::from_millis(3_200);
+const ACCEPT_TIME_AFTER_STOP: Duration = Duration::from_millis(3_200);
 /// Time by which the process ends earlier than the platform would kill it.
 const STOP_MARGIN: Duration = Duration::from_millis(400);
 /// Interval at which readiness is checked for the log and silent endpoints are removed.
@@ -59,7 +59,7 @@
         "seeds" => ?settings.seed_addresses);
     let grace = settings.stop_grace.saturating_sub(STOP_MARGIN);
     let shared = Arc::new(EntryShared::new(settings, codec, stop.clone(), log.clone()));
-    let sessions = Arc::new(SessionManager::new(Arc::clone(&shared), draw_start()?, seeds));
+    let sessions = Arc::new(SessionManager::new(Arc::clone(&shared), random_start_id()?, seeds));
     // Shutdown has two steps after `stop`: `closing` closes the callers' connections once the balancer has had time to
     // react, and `ended` stops the background tasks once the calls have ended.
     let closing = CancellationToken::new();
@@ -90,16 +90,16 @@
     let bounding = Arc::clone(&shared);
     let serving = tokio::spawn(serve_http_within(
         callers,
-        move || bounds_now(&bounding),
+        move || current_bounds(&bounding),
         closing.clone(),
         move |request| call::answer(Arc::clone(&answering), request),
     ));
     stop.cancelled().await;
     shared.request_stop(boot_now());
     slog::info!(log, "entry stopping"; "event" => event::STOPPING);
-    tokio::time::sleep(ACCEPTING_TIME.min(grace / 2)).await;
+    tokio::time::sleep(ACCEPT_TIME_AFTER_STOP.min(grace / 2)).await;
     closing.cancel();
-    let left = grace.saturating_sub(ACCEPTING_TIME.min(grace / 2));
+    let left = grace.saturating_sub(ACCEPT_TIME_AFTER_STOP.min(grace / 2));
     if tokio::time::timeout(left, serving).await.is_err() {
         slog::warn!(log, "stopping with calls still running"; "event" => event::STOP_OVERDUE);
     }
@@ -110,22 +110,22 @@
 
 /// Returns a random identifier of this start of the process. A timestamp is not unique: hosts that start together may
 /// read the same time, and the counts of one would be taken for those of another.
-fn draw_start() -> anyhow::Result<u64> {
+fn random_start_id() -> anyhow::Result<u64> {
     let mut bytes = [0; 8];
     getrandom::fill(&mut bytes).context("failed to read random bytes")?;
     Ok(u64::from_le_bytes(bytes))
 }
 
-fn bounds_now(shared: &EntryShared) -> ServerBounds {
+fn current_bounds(shared: &EntryShared) -> ServerBounds {
     let Some(index) = shared.state().index.clone() else {
-        return FIRST_BOUNDS;
+        return INITIAL_LIMITS;
     };
     let bounds = index.config().limits;
     ServerBounds {
         // The codec checks the exact limit once the head has been read, so that the caller gets a proper refusal.
-        head_bytes: FIRST_BOUNDS.head_bytes.max(2 * bounds.head_bytes),
+        head_bytes: INITIAL_LIMITS.head_bytes.max(2 * bounds.head_bytes),
         head_timeout: bounds.idle_timeout.max(bounds.head_timeout),
-        connections: CONNECTIONS,
+        connections: MAX_CALLER_CONNECTIONS,
     }
 }
 
