--- a/crates/acacia-entry/src/serving/call.rs
+++ b/crates/acacia-entry/src/serving/call.rs
@@ -85,14 +85,14 @@
 ) -> Response<ResponseBody> {
     let request = head.map(|head| head.request.as_str());
     let now = boot_now();
-    let (number, standing) = {
+    let (number, freshness) = {
         let state = shared.state();
         (state.config.number, state.freshness)
     };
     slog::info!(shared.log, "call refused"; "event" => event::CALL_REFUSED, "request" => request,
         "path" => head.map(|head| head.path.as_str()), "refusal" => ?refusal,
-        "config" => number.0, "told" => standing.announced().0,
-        "confirmed_ms" => standing.time_since_confirmed(received_at).map(whole_millis),
+        "config" => number.0, "told" => freshness.announced().0,
+        "confirmed_ms" => freshness.time_since_confirmed(received_at).map(whole_millis),
         "after_ms" => whole_millis(now.since(received_at)));
     metrics::counter!("acacia_calls_refused_total", "reason" => refusal.reason()).increment(1);
     shared.codec.write_refusal(request, &refusal)
@@ -135,7 +135,7 @@
         let wait = shared.lease_outage().retry_after(now);
         return Err((head.ok(), not_run("no lease", wait)));
     };
-    let head = head.map_err(|fault| match fault {
+    let head = head.map_err(|error| match error {
         HeadError::Malformed(reason) => (None, CallRefusal::BadHead(reason)),
         HeadError::TooLarge => (None, CallRefusal::HeadTooLarge),
     })?;
--- a/crates/acacia-entry/src/serving/control_sessions.rs
+++ b/crates/acacia-entry/src/serving/control_sessions.rs
@@ -75,7 +75,7 @@
         let mut seeds = self.seeds.clone();
         let mut sessions: BTreeMap<SocketAddr, JoinHandle<()>> = BTreeMap::new();
         loop {
-            let heard = self.voters_reported.notified();
+            let voters_reported = self.voters_reported.notified();
             let wanted = self.session_targets(&seeds.borrow_and_update());
             sessions.retain(|address, session| {
                 let keep = wanted.contains(address);
@@ -95,7 +95,7 @@
             }
             tokio::select! {
                 () = stop.cancelled() => break,
-                () = heard => {}
+                () = voters_reported => {}
                 Ok(()) = seeds.changed() => {}
             }
         }
@@ -206,22 +206,22 @@
         true
     }
 
-    fn log_config_request(&self, now: BootTime, address: SocketAddr, asked: u64) {
+    fn log_config_request(&self, now: BootTime, address: SocketAddr, renewal: u64) {
         let state = self.shared.state();
         let held = state.config.number;
         if let Some(announced_at) = state.freshness.behind_since(held) {
             slog::info!(self.shared.log, "newer configuration requested"; "event" => event::CONFIG_ASKED,
-                "asked" => asked, "told" => state.freshness.announced().0, "held" => held.0, "replica" => %address,
+                "asked" => renewal, "told" => state.freshness.announced().0, "held" => held.0, "replica" => %address,
                 "told_ms" => whole_millis(now.since(announced_at)));
         }
     }
 
-    fn log_late_renewal(&self, now: BootTime, address: SocketAddr, asked: u64, received: &ReceivedConfig) {
+    fn log_late_renewal(&self, now: BootTime, address: SocketAddr, renewal: u64, received: &ReceivedConfig) {
         let took = now.since(received.requested_at);
         if took >= LEADER_TIMEOUT {
             metrics::counter!("acacia_renewals_late_total").increment(1);
             slog::info!(self.shared.log, "renewal answered late"; "event" => event::RENEWAL_LATE,
-                "asked" => asked, "took_ms" => whole_millis(took), "number" => received.config.number.0,
+                "asked" => renewal, "took_ms" => whole_millis(took), "number" => received.config.number.0,
                 "bytes" => received.bytes, "replica" => %address);
         }
     }
--- a/crates/acacia-entry/src/serving/prefill.rs
+++ b/crates/acacia-entry/src/serving/prefill.rs
@@ -158,12 +158,12 @@
     };
     let queued = call.shared.state().loads.work(&chosen.name).unread_tokens;
     let _guard = call.shared.add_work(&chosen.name, work);
-    let bound = place.wait.mul_f64(PREFILL_TIMEOUT_FACTOR) + PREFILL_TIMEOUT_MARGIN;
+    let limit = place.wait.mul_f64(PREFILL_TIMEOUT_FACTOR) + PREFILL_TIMEOUT_MARGIN;
     let timeouts = AttemptTimeouts {
         // The engine may be busy with work of other entries that this one has not heard of, so a slow engine is not
         // suspected.
         suspect_after: None,
-        give_up_after: bound.min(call.deadline.since(began_at)),
+        give_up_after: limit.min(call.deadline.since(began_at)),
     };
     // Recorded before the answer arrives, so that calls with the same parts go to this engine meanwhile.
     let memory = call.shared.engine_memory(&call.service);
--- a/crates/acacia-entry/src/serving/shared.rs
+++ b/crates/acacia-entry/src/serving/shared.rs
@@ -257,11 +257,11 @@
             .may_deny(now, state.config.number, self.settings.config_in_force)
     }
 
-    /// Extends the lease after the leader has confirmed it in answer to a request sent at `asked_at`.
-    pub(super) fn confirm_lease(&self, asked_at: BootTime) {
-        self.state().freshness.record_confirmed(asked_at);
+    /// Extends the lease after the leader has confirmed it in answer to a request sent at `requested_at`.
+    pub(super) fn confirm_lease(&self, requested_at: BootTime) {
+        self.state().freshness.record_confirmed(requested_at);
         self.lease
-            .extend(asked_at + self.settings.key_withdrawal.mul_f64(LEASE_FRACTION));
+            .extend(requested_at + self.settings.key_withdrawal.mul_f64(LEASE_FRACTION));
         self.lease_extended.notify_waiters();
     }
 
--- a/crates/acacia-entry/src/serving/start.rs
+++ b/crates/acacia-entry/src/serving/start.rs
@@ -67,13 +67,13 @@
     let background = TaskTracker::new();
     background.spawn(sessions.run_sessions(ended.clone()));
     background.spawn(watch_readiness(Arc::clone(&shared), ended.clone()));
-    let asked = Arc::clone(&shared);
+    let entry = Arc::clone(&shared);
     background.spawn(serve_http(
         ready,
         ServerBounds::default(),
         ended.clone(),
         move |_request| {
-            let is_ready = asked.is_ready(boot_now());
+            let is_ready = entry.is_ready(boot_now());
             async move {
                 if is_ready {
                     text_response(StatusCode::OK, "ready\n")
@@ -83,16 +83,16 @@
             }
         },
     ));
-    let asked = Arc::clone(&shared);
-    let is_ready = move || asked.is_ready(boot_now());
+    let entry = Arc::clone(&shared);
+    let is_ready = move || entry.is_ready(boot_now());
     background.spawn(serve_admin(metrics, ended.clone(), page, is_ready, |_path| None));
-    let answering = Arc::clone(&shared);
-    let bounding = Arc::clone(&shared);
+    let handler_state = Arc::clone(&shared);
+    let limits_state = Arc::clone(&shared);
     let serving = tokio::spawn(serve_http_within(
         callers,
-        move || current_bounds(&bounding),
+        move || current_bounds(&limits_state),
         closing.clone(),
-        move |request| call::answer(Arc::clone(&answering), request),
+        move |request| call::answer(Arc::clone(&handler_state), request),
     ));
     stop.cancelled().await;
     shared.request_stop(boot_now());
