--- a/crates/acacia-entry/src/serving/control_sessions.rs
+++ b/crates/acacia-entry/src/serving/control_sessions.rs
@@ -1,7 +1,7 @@
 //! Sessions with the replicas of the control group, over which the entry renews its lease and receives the configuration
 //! and the state of the endpoints.
 //!
-//! The entry keeps a session with every voter, because each replica forwards only the reports that endpoints sent to it.
+//! The entry keeps a session with every voter, because each replica forwards the reports that endpoints send to it.
 //! It requests the lease from the leader only, or from all replicas while it does not know the leader
 //! ([`ReplicaTracker`]).
 
@@ -43,7 +43,7 @@
 /// Delay before a lost connection is opened again.
 const RECONNECT_DELAY: Duration = Duration::from_millis(150);
 
-/// Sessions with all replicas, and the state that they share.
+/// Manager of the sessions with all replicas, with the state that they share.
 #[derive(Debug)]
 pub(super) struct SessionManager {
     shared: Arc<EntryShared>,
--- a/crates/acacia-entry/src/serving/shared.rs
+++ b/crates/acacia-entry/src/serving/shared.rs
@@ -65,7 +65,7 @@
     pub(super) config: ConfigDocument,
     pub(super) freshness: ConfigFreshness,
     pub(super) registry: EndpointRegistry,
-    /// True once a replica has sent the endpoints that it knows.
+    /// True once a replica has sent all endpoints that it knows.
     pub(super) has_endpoints: bool,
     pub(super) loads: LoadTable,
     pub(super) entry_count: u32,
--- a/crates/acacia-entry/src/serving/stream_call.rs
+++ b/crates/acacia-entry/src/serving/stream_call.rs
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Returns the time that an engine may take to begin its answer. It is shorter than the silence bound if the service's
+    /// Returns the time that an engine may take to begin its answer. It is shorter than the silence timeout if the service's
     /// usual time to first answer is known and the call can be retried elsewhere.
     fn first_answer_timeout(&self, suspect_after: Option<Duration>) -> Duration {
         let timeout = self.silence_timeout();
