--- a/crates/acacia-entry/src/serving/attempt.rs
+++ b/crates/acacia-entry/src/serving/attempt.rs
@@ -96,8 +96,8 @@
 /// Time limits of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptTimeouts {
-    /// Time without an answer after which the endpoint is suspected and other calls avoid it, or `None` if it is unknown
-    /// how long answers usually take.
+    /// Time without an answer after which the endpoint is suspected and other calls avoid it, or `None` if it is
+    /// unknown how long answers usually take.
     pub(super) suspect_after: Option<Duration>,
     /// Time after which the attempt is given up.
     pub(super) give_up_after: Duration,
--- a/crates/acacia-entry/src/serving/codec.rs
+++ b/crates/acacia-entry/src/serving/codec.rs
@@ -98,8 +98,8 @@
     ///
     /// Fails if the head is malformed or larger than `max_head_bytes` bytes.
     fn read_head(&self, parts: &Parts, max_head_bytes: usize) -> Result<CallHead, HeadError>;
-    /// Writes the request head of an attempt: the caller's head, in which the headers reserved for the entry are replaced
-    /// by its own.
+    /// Writes the request head of an attempt: the caller's head, in which the headers reserved for the entry are
+    /// replaced by its own.
     fn write_attempt_head(&self, parts: &Parts, attempt: &AttemptHead<'_>) -> Request<()>;
     /// Reads the head of an endpoint's answer.
     fn read_answer_head(&self, headers: &HeaderMap) -> AnswerHead;
--- a/crates/acacia-entry/src/serving/config_install.rs
+++ b/crates/acacia-entry/src/serving/config_install.rs
@@ -36,8 +36,8 @@
 }
 
 impl ReplicaSession {
-    /// Processes the answer to a renewal. `number` is the number of the newest configuration, and `content` is its document
-    /// or the difference from an earlier one.
+    /// Processes the answer to a renewal. `number` is the number of the newest configuration, and `content` is its
+    /// document or the difference from an earlier one.
     ///
     /// # Errors
     ///
--- a/crates/acacia-entry/src/serving/control_sessions.rs
+++ b/crates/acacia-entry/src/serving/control_sessions.rs
@@ -1,5 +1,5 @@
-//! Sessions with the replicas of the control group, over which the entry renews its lease and receives the configuration
-//! and the state of the endpoints.
+//! Sessions with the replicas of the control group, over which the entry renews its lease and receives the
+//! configuration and the state of the endpoints.
 //!
 //! The entry keeps a session with every voter, because each replica forwards the reports that endpoints send to it.
 //! It requests the lease from the leader only, or from all replicas while it does not know the leader
@@ -33,8 +33,8 @@
 use super::renewal_message::renewal_frame;
 use super::shared::EntryShared;
 
-/// Interval between renewals of the lease. A dozen of them fit into the shortest lease in use, and the load that entries
-/// report to each other is at most two intervals old.
+/// Interval between renewals of the lease. A dozen of them fit into the shortest lease in use, and the load that
+/// entries report to each other is at most two intervals old.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(250);
 /// Time for which sent data may remain unacknowledged before the kernel closes the connection.
 const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -274,8 +274,8 @@
         Ok(())
     }
 
-    /// Handles the answer to a renewal: installs the configuration in it, applies the reports of other entries and extends
-    /// the lease.
+    /// Handles the answer to a renewal: installs the configuration in it, applies the reports of other entries and
+    /// extends the lease.
     fn handle_renewal(
         &self,
         address: SocketAddr,
--- a/crates/acacia-entry/src/serving/mod.rs
+++ b/crates/acacia-entry/src/serving/mod.rs
@@ -1,13 +1,14 @@
 //! Entry process that routes calls by host and path.
 //!
-//! `call` checks the lease, route, key and body of a call and passes it to `plain_call` or `stream_call`. A plain call is
-//! answered by a single endpoint. The prompt of a stream call may be prefilled by one engine (`prefill`) and decoded by
-//! another, and the stream is resumed at another one if the engine breaks off (`stream_body`). Both send calls to endpoints
-//! by `attempt`.
+//! `call` checks the lease, route, key and body of a call and passes it to `plain_call` or `stream_call`. A plain call
+//! is answered by a single endpoint. The prompt of a stream call may be prefilled by one engine (`prefill`) and decoded
+//! by another, and the stream is resumed at another one if the engine breaks off (`stream_body`). Both send calls to
+//! endpoints by `attempt`.
 //!
-//! All calls use the state in `shared`, from which `endpoint_choice` selects endpoints. `control_sessions` keeps this state up to
-//! date over its sessions with the replicas: it sends the requests of `renewal_message`, and `config_install` and
-//! `endpoint_news` handle what the replicas send. The wire format of calls is defined by a [`CallCodec`].
+//! All calls use the state in `shared`, from which `endpoint_choice` selects endpoints. `control_sessions` keeps this
+//! state up to date over its sessions with the replicas: it sends the requests of `renewal_message`, and
+//! `config_install` and `endpoint_news` handle what the replicas send. The wire format of calls is defined by a
+//! [`CallCodec`].
 
 mod attempt;
 mod call;
--- a/crates/acacia-entry/src/serving/plain_call.rs
+++ b/crates/acacia-entry/src/serving/plain_call.rs
@@ -120,8 +120,8 @@
     }
 }
 
-/// Returns true if the endpoint answered with a server error and the call is to be retried at another endpoint. Takes the
-/// retry from the service's retry limit.
+/// Returns true if the endpoint answered with a server error and the call is to be retried at another endpoint. Takes
+/// the retry from the service's retry limit.
 fn acquire_retry_elsewhere(
     call: &AcceptedCall,
     attempts: &PlainAttempts,
--- a/crates/acacia-entry/src/serving/prefill.rs
+++ b/crates/acacia-entry/src/serving/prefill.rs
@@ -31,15 +31,16 @@
 const PREFILL_TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
 /// Number of failed engines after which the prefill of a prompt is given up.
 const MAX_FAILED_ENGINES: usize = 3;
-/// Number of unreachable engines after which the prefill of a prompt is given up. Each of them costs a connection attempt.
+/// Number of unreachable engines after which the prefill of a prompt is given up. Each of them costs a connection
+/// attempt.
 const MAX_UNREACHABLE_ENGINES: usize = 8;
 /// Maximum size of an engine's answer to a prefill request, in bytes.
 const MAX_HANDLE_BYTES: usize = 16 * 1024;
 /// Time limit for freeing a handle.
 const FREE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Prompt that an engine has prefilled and keeps for a decode engine. Dropping the value frees it on the engine, unless a
-/// decode engine has taken it.
+/// Prompt that an engine has prefilled and keeps for a decode engine. Dropping the value frees it on the engine, unless
+/// a decode engine has taken it.
 #[derive(Debug)]
 pub(super) struct PrefilledPrompt {
     pub(super) address: SocketAddr,
@@ -91,8 +92,8 @@
     }
 }
 
-/// Has an engine prefill the prompt of a call. `is_retry` is true if the prompt of this call was sent for prefill before,
-/// so that every attempt counts as a retry.
+/// Has an engine prefill the prompt of a call. `is_retry` is true if the prompt of this call was sent for prefill
+/// before, so that every attempt counts as a retry.
 pub(super) async fn prefill_prompt(
     call: &AcceptedCall,
     prompt: &PromptShape,
--- a/crates/acacia-entry/src/serving/shared.rs
+++ b/crates/acacia-entry/src/serving/shared.rs
@@ -36,14 +36,14 @@
 /// Length of the lease as a fraction of the time within which a withdrawn key must stop working. The rest covers calls
 /// that are on their way to an endpoint when the lease ends.
 const LEASE_FRACTION: f64 = 0.75;
-/// Time for which an idle connection is kept if the endpoint does not announce a time of its own. An entry that spreads a
-/// few calls per second over a hundred endpoints reuses each connection within this time. A new connection costs both
+/// Time for which an idle connection is kept if the endpoint does not announce a time of its own. An entry that spreads
+/// a few calls per second over a hundred endpoints reuses each connection within this time. A new connection costs both
 /// sides.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(45);
 /// Time for which sent data may remain unacknowledged before the kernel closes the connection to an endpoint.
 const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Time limit for connecting to an endpoint. Within a region this takes milliseconds. A lost packet is retransmitted only
-/// after a second, by which time another endpoint can have answered.
+/// Time limit for connecting to an endpoint. Within a region this takes milliseconds. A lost packet is retransmitted
+/// only after a second, by which time another endpoint can have answered.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// How many windows of counts are repeated to the leader: those that may still be open.
 const REPORTED_WINDOWS: u64 = 4;
--- a/crates/acacia-entry/src/serving/stream_body.rs
+++ b/crates/acacia-entry/src/serving/stream_body.rs
@@ -15,8 +15,8 @@
 use super::shared::LoadGuard;
 use super::stream_call::{OpenStream, StreamAttempts};
 
-/// Streams a large body as it arrives. If it breaks off, the caller's connection is broken too, so that the caller cannot
-/// take the body for complete.
+/// Streams a large body as it arrives. If it breaks off, the caller's connection is broken too, so that the caller
+/// cannot take the body for complete.
 pub(super) fn stream_answer(
     call: &AcceptedCall,
     incoming: Incoming,
@@ -131,7 +131,8 @@
 
     /// Resumes the stream at another engine after the last complete event. Returns true if that succeeded.
     async fn resume_elsewhere(&mut self, reason: &str) -> bool {
-        // Closed before another engine is asked: an engine that is merely slow would otherwise keep working on the call.
+        // Closed before another engine is asked: an engine that is merely slow would otherwise keep working on the
+        // call.
         let Some(OpenStream { endpoint, .. }) = self.stream.take() else {
             return false;
         };
--- a/crates/acacia-entry/src/serving/stream_call.rs
+++ b/crates/acacia-entry/src/serving/stream_call.rs
@@ -108,8 +108,8 @@
         }
     }
 
-    /// Returns the time that an engine may take to begin its answer. It is shorter than the silence timeout if the service's
-    /// usual time to first answer is known and the call can be retried elsewhere.
+    /// Returns the time that an engine may take to begin its answer. It is shorter than the silence timeout if the
+    /// service's usual time to first answer is known and the call can be retried elsewhere.
     fn first_answer_timeout(&self, suspect_after: Option<Duration>) -> Duration {
         let timeout = self.silence_timeout();
         let can_retry = self.call.route().kind.may_repeat() && self.possible_runs + 1 < self.call.route().max_attempts;
@@ -119,7 +119,8 @@
         }
     }
 
-    /// Opens a stream that begins after the event `resume_after`, or at the beginning. Tries several engines if necessary.
+    /// Opens a stream that begins after the event `resume_after`, or at the beginning. Tries several engines if
+    /// necessary.
     pub(super) async fn open(&mut self, resume_after: Option<u64>) -> Result<OpenStream, CallRefusal> {
         let mut tried: Vec<EndpointName> = Vec::new();
         let mut prefilled: Option<PrefilledPrompt> = None;
