--- a/crates/acacia-entry/src/serving/plain_call.rs
+++ b/crates/acacia-entry/src/serving/plain_call.rs
@@ -22,7 +22,7 @@
 
 /// Answers up to this size are read whole before they are passed on: a call that may be repeated can then be sent again
 /// when its answer breaks off.
-const MAX_BUFFERED_BYTES: usize = 64 * 1024;
+const MAX_BUFFERED_CONTENT_LENGTH: usize = 64 * 1024;
 /// Time limit for reading a discarded answer to its end so that its connection can be reused. A new connection costs
 /// about as much.
 const DISCARD_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(20);
@@ -174,7 +174,7 @@
     let headers = call.shared.codec.filter_answer_headers(&parts.headers);
     call.shared.count_start(call.customer());
     let (status, length) = (parts.status, content_length(&parts.headers));
-    if length.is_some_and(|length| length > MAX_BUFFERED_BYTES) {
+    if length.is_some_and(|length| length > MAX_BUFFERED_CONTENT_LENGTH) {
         let body = stream_answer(call, incoming, connection, guard);
         return Some(build_response(status, headers, body));
     }
