--- a/crates/acacia-entry/src/serving/attempt.rs
+++ b/crates/acacia-entry/src/serving/attempt.rs
@@ -96,8 +96,8 @@
 /// Time limits of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptTimeouts {
-    /// Time without an answer after which the endpoint is suspected and other calls avoid it, or `None` if it is unknown
-    /// how long answers usually take.
+    /// Time without an answer after which the endpoint is suspected and other calls avoid it, or `None` if it is
+    /// unknown how long answers usually take.
     pub(super) suspect_after: Option<Duration>,
     /// Time after which the attempt is given up.
     pub(super) give_up_after: Duration,
@@ -186,13 +186,13 @@
         "outcome" => ?outcome, "reason" => reason, "after_ms" => whole_millis(boot_now().since(sent_at)),
         "report" => chosen.endpoint.sequence);
     metrics::counter!("acacia_attempts_failed_total").increment(1);
-    let mut view = call.shared.view();
+    let mut state = call.shared.state();
     match outcome {
-        AttemptOutcome::NotRun { arrived: false } => view.loads.record_unreachable(boot_now(), &chosen.name),
-        AttemptOutcome::Lost | AttemptOutcome::TimedOut => view.loads.record_silence(boot_now(), &chosen.name),
-        _ => view.loads.record_failure(boot_now(), &chosen.name),
+        AttemptOutcome::NotRun { arrived: false } => state.loads.record_unreachable(boot_now(), &chosen.name),
+        AttemptOutcome::Lost | AttemptOutcome::TimedOut => state.loads.record_silence(boot_now(), &chosen.name),
+        _ => state.loads.record_failure(boot_now(), &chosen.name),
     }
-    drop(view);
+    drop(state);
     outcome
 }
 
@@ -212,6 +212,6 @@
     slog::info!(call.shared.log, "endpoint suspected"; "event" => event::ENDPOINT_DOUBTED,
         "request" => &call.head.request, "endpoint" => chosen.name.as_str(),
         "sent_ms" => whole_millis(now.since(sent_at)), "report" => chosen.endpoint.sequence);
-    call.shared.view().loads.record_silence(now, &chosen.name);
+    call.shared.state().loads.record_silence(now, &chosen.name);
     std::future::pending().await
 }
--- a/crates/acacia-entry/src/serving/endpoint_news.rs
+++ b/crates/acacia-entry/src/serving/endpoint_news.rs
@@ -14,10 +14,10 @@
 use super::shared::EntryShared;
 
 /// Applies the reports that endpoints have sent to a replica.
-pub(super) fn take_news(shared: &EntryShared, news: &EndpointNews) {
+pub(super) fn apply_endpoint_news(shared: &EntryShared, news: &EndpointNews) {
     let now = boot_now();
-    let mut view = shared.view();
-    view.heard_endpoints = true;
+    let mut state = shared.state();
+    state.has_endpoints = true;
     for row in &news.rows {
         let (name, endpoint) = match endpoint_from_wire(row) {
             Ok(read) => read,
@@ -28,7 +28,7 @@
             }
         };
         let phase = endpoint.phase;
-        if view.registry.apply_relayed_report(now, &name, endpoint) == ReportEffect::Changed {
+        if state.registry.apply_relayed_report(now, &name, endpoint) == ReportEffect::Changed {
             slog::info!(shared.log, "endpoint changed"; "event" => event::ENDPOINT_CHANGED,
                 "endpoint" => name.as_str(), "phase" => ?phase, "sequence" => row.sequence, "birth" => row.birth);
         }
@@ -36,13 +36,13 @@
 }
 
 /// Replaces the set of engines that are changing their stage and therefore take no calls.
-pub(super) fn take_resting(shared: &EntryShared, resting: &RestingEngines) {
+pub(super) fn apply_resting_engines(shared: &EntryShared, resting: &RestingEngines) {
     let now = boot_now();
     let engines = resting
         .engines
         .iter()
         .filter_map(|engine| resting_from_wire(now, engine));
-    shared.view().loads.set_stage_switches(engines);
+    shared.state().loads.set_stage_switches(engines);
 }
 
 fn resting_from_wire(now: BootTime, engine: &RestingEngine) -> Option<(EndpointName, StageSwitch)> {
--- a/crates/acacia-entry/src/serving/plain_call.rs
+++ b/crates/acacia-entry/src/serving/plain_call.rs
@@ -22,7 +22,7 @@
 
 /// Answers up to this size are read whole before they are passed on: a call that may be repeated can then be sent again
 /// when its answer breaks off.
-const MAX_BUFFERED_BYTES: usize = 64 * 1024;
+const MAX_BUFFERED_CONTENT_LENGTH: usize = 64 * 1024;
 /// Time limit for reading a discarded answer to its end so that its connection can be reused. A new connection costs
 /// about as much.
 const DISCARD_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(20);
@@ -120,8 +120,8 @@
     }
 }
 
-/// Returns true if the endpoint answered with a server error and the call is to be retried at another endpoint. Takes the
-/// retry from the service's retry limit.
+/// Returns true if the endpoint answered with a server error and the call is to be retried at another endpoint. Takes
+/// the retry from the service's retry limit.
 fn acquire_retry_elsewhere(
     call: &AcceptedCall,
     attempts: &PlainAttempts,
@@ -174,7 +174,7 @@
     let headers = call.shared.codec.filter_answer_headers(&parts.headers);
     call.shared.count_start(call.customer());
     let (status, length) = (parts.status, content_length(&parts.headers));
-    if length.is_some_and(|length| length > MAX_BUFFERED_BYTES) {
+    if length.is_some_and(|length| length > MAX_BUFFERED_CONTENT_LENGTH) {
         let body = stream_answer(call, incoming, connection, guard);
         return Some(build_response(status, headers, body));
     }
@@ -182,17 +182,17 @@
     let Ok(Some(whole)) = tokio::time::timeout(left, read_to_end(incoming)).await else {
         slog::info!(call.shared.log, "answer broke off"; "event" => event::ATTEMPT_FAILED,
             "request" => &call.head.request, "endpoint" => chosen.name.as_str());
-        call.shared.view().loads.record_failure(boot_now(), &chosen.name);
+        call.shared.state().loads.record_failure(boot_now(), &chosen.name);
         return None;
     };
     connection.return_to_pool(call).await;
-    let mut view = call.shared.view();
+    let mut state = call.shared.state();
     if status.is_server_error() {
-        view.loads.record_failure(boot_now(), &chosen.name);
+        state.loads.record_failure(boot_now(), &chosen.name);
     } else {
-        view.loads.record_success(&chosen.name);
+        state.loads.record_success(&chosen.name);
     }
-    drop(view);
+    drop(state);
     Some(build_response(status, headers, full_body(whole)))
 }
 
--- a/crates/acacia-entry/src/serving/prefill.rs
+++ b/crates/acacia-entry/src/serving/prefill.rs
@@ -31,15 +31,16 @@
 const PREFILL_TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
 /// Number of failed engines after which the prefill of a prompt is given up.
 const MAX_FAILED_ENGINES: usize = 3;
-/// Number of unreachable engines after which the prefill of a prompt is given up. Each of them costs a connection attempt.
+/// Number of unreachable engines after which the prefill of a prompt is given up. Each of them costs a connection
+/// attempt.
 const MAX_UNREACHABLE_ENGINES: usize = 8;
 /// Maximum size of an engine's answer to a prefill request, in bytes.
 const MAX_HANDLE_BYTES: usize = 16 * 1024;
 /// Time limit for freeing a handle.
 const FREE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Prompt that an engine has prefilled and keeps for a decode engine. Dropping the value frees it on the engine, unless a
-/// decode engine has taken it.
+/// Prompt that an engine has prefilled and keeps for a decode engine. Dropping the value frees it on the engine, unless
+/// a decode engine has taken it.
 #[derive(Debug)]
 pub(super) struct PrefilledPrompt {
     pub(super) address: SocketAddr,
@@ -91,8 +92,8 @@
     }
 }
 
-/// Has an engine prefill the prompt of a call. `is_retry` is true if the prompt of this call was sent for prefill before,
-/// so that every attempt counts as a retry.
+/// Has an engine prefill the prompt of a call. `is_retry` is true if the prompt of this call was sent for prefill
+/// before, so that every attempt counts as a retry.
 pub(super) async fn prefill_prompt(
     call: &AcceptedCall,
     prompt: &PromptShape,
@@ -156,21 +157,18 @@
         calls: 1,
         held_tokens: 0,
     };
-    let queued = call.shared.view().loads.work(&chosen.name).unread_tokens;
+    let queued = call.shared.state().loads.work(&chosen.name).unread_tokens;
     let _guard = call.shared.add_work(&chosen.name, work);
-    let bound = place.wait.mul_f64(PREFILL_TIMEOUT_FACTOR) + PREFILL_TIMEOUT_MARGIN;
+    let limit = place.wait.mul_f64(PREFILL_TIMEOUT_FACTOR) + PREFILL_TIMEOUT_MARGIN;
     let timeouts = AttemptTimeouts {
         // The engine may be busy with work of other entries that this one has not heard of, so a slow engine is not
         // suspected.
         suspect_after: None,
-        give_up_after: bound.min(call.deadline.since(began_at)),
+        give_up_after: limit.min(call.deadline.since(began_at)),
     };
     // Recorded before the answer arrives, so that calls with the same parts go to this engine meanwhile.
     let memory = call.shared.engine_memory(&call.service);
-    call.shared
-        .view()
-        .loads
-        .record_prefill(&chosen.name, &prompt.parts, memory);
+    call.shared.state().loads.record_prefill(&chosen.name, &prompt.parts, memory);
     let outcome = send(
         call,
         chosen,
@@ -198,23 +196,23 @@
         "expected_ms" => whole_millis(place.wait), "took_ms" => whole_millis(took));
     metrics::histogram!("acacia_prompt_read_seconds").record(took.as_secs_f64());
     metrics::histogram!("acacia_prompt_wait_error_seconds").record(took.as_secs_f64() - place.wait.as_secs_f64());
-    let mut view = call.shared.view();
+    let mut state = call.shared.state();
     let reading = PrefillTime {
         queued,
         unread: place.unread_tokens,
         took,
     };
-    view.record_prefill_time(&call.service, &chosen.name, reading);
+    state.record_prefill_time(&call.service, &chosen.name, reading);
     if let Some(source) = copy_from
         && is_copy_source_gone(&source.endpoint, place.wait, took)
     {
         slog::info!(call.shared.log, "copy source suspected"; "event" => event::ATTEMPT_FAILED,
             "request" => &call.head.request, "endpoint" => source.name.as_str(), "took_ms" => whole_millis(took));
-        view.loads.record_unreachable(boot_now(), &source.name);
+        state.loads.record_unreachable(boot_now(), &source.name);
     }
-    view.loads.record_success(&chosen.name);
-    view.kept_news.record_prefill(&chosen.name, prompt.shared_parts());
-    drop(view);
+    state.loads.record_success(&chosen.name);
+    state.kept_news.record_prefill(&chosen.name, prompt.shared_parts());
+    drop(state);
     PrefillOutcome::Prefilled(PrefilledPrompt {
         address: chosen.endpoint.address,
         handle,
@@ -225,8 +223,8 @@
 }
 
 fn record_demand(call: &AcceptedCall, place: &PromptPlacement) {
-    let mut view = call.shared.view();
-    let demand = view.demands.entry(call.service.clone()).or_default();
+    let mut state = call.shared.state();
+    let demand = state.demands.entry(call.service.clone()).or_default();
     demand.unread_tokens += place.unread_tokens;
     demand.wait_us = demand
         .wait_us
@@ -246,7 +244,7 @@
     if handle.is_none() {
         slog::info!(call.shared.log, "prompt was not read"; "event" => event::PROMPT_READ,
             "request" => &call.head.request, "endpoint" => chosen.name.as_str(), "status" => status.as_u16());
-        call.shared.view().loads.record_failure(boot_now(), &chosen.name);
+        call.shared.state().loads.record_failure(boot_now(), &chosen.name);
     }
     handle
 }
--- a/crates/acacia-entry/src/serving/stream_body.rs
+++ b/crates/acacia-entry/src/serving/stream_body.rs
@@ -15,8 +15,8 @@
 use super::shared::LoadGuard;
 use super::stream_call::{OpenStream, StreamAttempts};
 
-/// Streams a large body as it arrives. If it breaks off, the caller's connection is broken too, so that the caller cannot
-/// take the body for complete.
+/// Streams a large body as it arrives. If it breaks off, the caller's connection is broken too, so that the caller
+/// cannot take the body for complete.
 pub(super) fn stream_answer(
     call: &AcceptedCall,
     incoming: Incoming,
@@ -131,12 +131,13 @@
 
     /// Resumes the stream at another engine after the last complete event. Returns true if that succeeded.
     async fn resume_elsewhere(&mut self, reason: &str) -> bool {
-        // Closed before another engine is asked: an engine that is merely slow would otherwise keep working on the call.
+        // Closed before another engine is asked: an engine that is merely slow would otherwise keep working on the
+        // call.
         let Some(OpenStream { endpoint, .. }) = self.stream.take() else {
             return false;
         };
         let call = &self.attempts.call;
-        call.shared.view().loads.record_failure(boot_now(), &endpoint);
+        call.shared.state().loads.record_failure(boot_now(), &endpoint);
         let can_retry = self.attempts.acquire_retry();
         slog::info!(call.shared.log, "stream broke off"; "event" => event::ATTEMPT_FAILED,
             "request" => &call.head.request, "endpoint" => endpoint.as_str(), "reason" => reason,
@@ -172,7 +173,7 @@
         slog::info!(call.shared.log, "stream ended"; "event" => event::CALL_ENDED, "request" => &call.head.request,
             "endpoint" => stream.endpoint.as_str(), "events" => self.events,
             "after_ms" => whole_millis(boot_now().since(call.received_at)));
-        call.shared.view().loads.record_success(&stream.endpoint);
+        call.shared.state().loads.record_success(&stream.endpoint);
         drop(stream.guard);
         stream.connection.return_to_pool(call).await;
     }
--- a/crates/acacia-entry/src/serving/stream_call.rs
+++ b/crates/acacia-entry/src/serving/stream_call.rs
@@ -108,8 +108,8 @@
         }
     }
 
-    /// Returns the time that an engine may take to begin its answer. It is shorter than the silence bound if the service's
-    /// usual time to first answer is known and the call can be retried elsewhere.
+    /// Returns the time that an engine may take to begin its answer. It is shorter than the silence timeout if the
+    /// service's usual time to first answer is known and the call can be retried elsewhere.
     fn first_answer_timeout(&self, suspect_after: Option<Duration>) -> Duration {
         let timeout = self.silence_timeout();
         let can_retry = self.call.route().kind.may_repeat() && self.possible_runs + 1 < self.call.route().max_attempts;
@@ -119,7 +119,8 @@
         }
     }
 
-    /// Opens a stream that begins after the event `resume_after`, or at the beginning. Tries several engines if necessary.
+    /// Opens a stream that begins after the event `resume_after`, or at the beginning. Tries several engines if
+    /// necessary.
     pub(super) async fn open(&mut self, resume_after: Option<u64>) -> Result<OpenStream, CallRefusal> {
         let mut tried: Vec<EndpointName> = Vec::new();
         let mut prefilled: Option<PrefilledPrompt> = None;
@@ -146,7 +147,7 @@
                     self.possible_runs += 1;
                     let (parts, incoming) = reply.response.into_parts();
                     if parts.status.is_server_error() && self.acquire_retry() {
-                        self.call.shared.view().loads.record_failure(boot_now(), &chosen.name);
+                        self.call.shared.state().loads.record_failure(boot_now(), &chosen.name);
                         prefilled = None;
                         tried.push(chosen.name);
                         continue;
@@ -200,10 +201,8 @@
         let Some(prompt) = &self.call.head.prompt else {
             return Ok(None);
         };
-        let pace = self.call.shared.view().prefill_pace(&self.call.service);
-        if is_prefilled_by_decoder(prompt, pace)
-            || !self.call.shared.has_prefill_engines(boot_now(), &self.call.service)
-        {
+        let pace = self.call.shared.state().prefill_pace(&self.call.service);
+        if is_prefilled_by_decoder(prompt, pace) || !self.call.shared.has_prefill_engines(boot_now(), &self.call.service) {
             return Ok(None);
         }
         let is_retry = self.prefills > 0;
@@ -226,7 +225,7 @@
             reader: prefilled.address,
             handle: &prefilled.handle,
         });
-        let suspect_after = self.call.shared.view().suspicion_timeout(&self.call.service);
+        let suspect_after = self.call.shared.state().suspicion_timeout(&self.call.service);
         let timeouts = AttemptTimeouts {
             suspect_after,
             give_up_after: self.first_answer_timeout(suspect_after),
@@ -235,7 +234,7 @@
         let outcome = send(&self.call, chosen, role, resume_after, timeouts).await;
         if matches!(outcome, AttemptOutcome::Answered(_)) {
             let took = boot_now().since(sent_at);
-            self.call.shared.view().record_first_answer(&self.call.service, took);
+            self.call.shared.state().record_first_answer(&self.call.service, took);
         }
         outcome
     }
