--- a/crates/acacia-control/src/serving/stage_orders.rs
+++ b/crates/acacia-control/src/serving/stage_orders.rs
@@ -9,7 +9,7 @@
 use acaciabay::core::serving::config::EngineSpec;
 use acaciabay::core::serving::endpoint_registry::{EngineStage, ServingEndpoint};
 use acaciabay::core::serving::stream_peak::{StreamDemand, StreamPeak};
-use acaciabay::ops::plan_stages::{StageWork, plan_stages, wanted_decoders};
+use acaciabay::ops::plan_stages::{StageLoad, plan_stages, wanted_decoders};
 
 use super::duties::DutyTurn;
 use super::engine_orders::EngineOrders;
@@ -97,7 +97,7 @@
         let demand = stages.peak.demand();
         let domains: BTreeSet<_> = engines.iter().map(|(_, endpoint)| &endpoint.domain).collect();
         let makers = engines.iter().filter(|(_, endpoint)| makes_tokens(endpoint)).count();
-        let work = StageWork {
+        let work = StageLoad {
             present: engines.len(),
             expected: stages.expected,
             decoders: if is_idle { 0 } else { makers },
--- a/crates/acaciabay/src/ops/plan_stages.rs
+++ b/crates/acaciabay/src/ops/plan_stages.rs
@@ -42,7 +42,7 @@
 
 /// The load and the engines of a service, from which the number of decode engines follows.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct StageWork {
+pub struct StageLoad {
     /// Engines that take calls.
     pub present: usize,
     /// Engines that the pool plan calls for, including those that have not started yet.
@@ -62,29 +62,29 @@
 /// If there are fewer engines than both stages need, they are divided in proportion to the needs. Otherwise a burst of
 /// streams would take engines from prefill until hardly any prompt is prefilled in time and the decode engines run
 /// idle.
-pub fn wanted_decoders(work: &StageWork, spec: &EngineSpec) -> usize {
-    let StageWork { domains, demand, .. } = work;
-    let engines = work.present.max(work.expected);
+pub fn wanted_decoders(load: &StageLoad, spec: &EngineSpec) -> usize {
+    let StageLoad { domains, demand, .. } = load;
+    let engines = load.present.max(load.expected);
     if engines < 2 {
         return engines;
     }
     let by_slots = demand.streams / (TARGET_UTILIZATION * f64::from(spec.slots.max(1)));
     let by_memory = demand.held_tokens / (TARGET_UTILIZATION * spec.memory_tokens.max(1) as f64);
     let decoders = by_slots.max(by_memory);
-    let present = work.present as f64;
-    let prefill_engines = PREFILL_HEADROOM * work.prefill_engines;
+    let present = load.present as f64;
+    let prefill_engines = PREFILL_HEADROOM * load.prefill_engines;
     let divided = if decoders + prefill_engines > present {
         present * decoders / (decoders + prefill_engines)
     } else {
         decoders
     };
     let needed = usize::try_from(round_up(divided)).unwrap_or(usize::MAX);
-    let least = MIN_ENGINES_PER_STAGE.min(engines / 2);
+    let stage_minimum = MIN_ENGINES_PER_STAGE.min(engines / 2);
     let by_domains = (*domains)
         .min(engines / ENGINES_PER_DECODER)
         .max(engines / ENGINES_PER_IDLE_DECODER);
-    let wanted = needed.max(by_domains).clamp(least, engines - least);
-    wanted.max(retained_decoders(work))
+    let wanted = needed.max(by_domains).clamp(stage_minimum, engines - stage_minimum);
+    wanted.max(retained_decoders(load))
 }
 
 /// Returns how many of the current decode engines may keep decoding although the streams need fewer.
@@ -92,13 +92,13 @@
 /// An engine that changes its stage takes no calls until its longest stream has ended and the change is made. In the
 /// next burst it is missing from decode, so that all streams slow down and the longest miss their deadlines. So engines
 /// change only if prefill needs them, where the need allows for the loss of a failure domain.
-fn retained_decoders(work: &StageWork) -> usize {
-    let domains = work.domains.max(2) as f64;
-    let prefill_engines = PREFILL_HEADROOM * work.prefill_engines * domains / (domains - 1.0);
+fn retained_decoders(load: &StageLoad) -> usize {
+    let domains = load.domains.max(2) as f64;
+    let prefill_engines = PREFILL_HEADROOM * load.prefill_engines * domains / (domains - 1.0);
     let prefill_engines = usize::try_from(round_up(prefill_engines)).unwrap_or(usize::MAX);
-    let least = MIN_ENGINES_PER_STAGE.min(work.present / 2);
-    work.decoders
-        .min(work.present.saturating_sub(prefill_engines.max(least)))
+    let prefill_minimum = MIN_ENGINES_PER_STAGE.min(load.present / 2);
+    load.decoders
+        .min(load.present.saturating_sub(prefill_engines.max(prefill_minimum)))
 }
 
 /// An engine of the service.
--- a/crates/acaciabay/tests/serving/stages.rs
+++ b/crates/acaciabay/tests/serving/stages.rs
@@ -3,7 +3,7 @@
 use acaciabay::core::name::EndpointName;
 use acaciabay::core::serving::endpoint_registry::{EngineStage, ServingEndpoint};
 use acaciabay::core::serving::stream_peak::{StreamDemand, StreamPeak};
-use acaciabay::ops::plan_stages::{StageWork, plan_stages, wanted_decoders};
+use acaciabay::ops::plan_stages::{StageLoad, plan_stages, wanted_decoders};
 use proptest::prelude::*;
 
 use crate::fixtures::{at, engine, fixed_cases, name, numbered};
@@ -33,8 +33,8 @@
     }
 }
 
-fn work(present: usize, domains: usize, streams: f64, prefill_engines: f64) -> StageWork {
-    StageWork {
+fn work(present: usize, domains: usize, streams: f64, prefill_engines: f64) -> StageLoad {
+    StageLoad {
         present,
         expected: 0,
         decoders: 0,
@@ -74,7 +74,7 @@
 #[test]
 fn decoders_that_prefill_does_not_need_keep_decoding() {
     let retained = |prefill_engines| {
-        let work = StageWork {
+        let work = StageLoad {
             decoders: 9,
             ..work(18, 3, 60.0, prefill_engines)
         };
@@ -90,7 +90,7 @@
 /// `too_few_engines_are_divided_between_prefill_and_decode`, and eighteen are expected.
 #[test]
 fn engines_that_have_not_started_do_no_work() {
-    let work = StageWork {
+    let work = StageLoad {
         expected: 18,
         ..work(8, 3, 162.0, 5.5)
     };
