--- a/crates/acaciabay/src/ops/plan_members.rs
+++ b/crates/acaciabay/src/ops/plan_members.rs
@@ -21,16 +21,16 @@
 /// Without this, a permanently lost voter would count in every quorum, and the next loss would stop the group. A silent
 /// voter stays if no learner can replace it, since its removal would not restore a copy of the log.
 pub fn plan_members(followers: &[FollowerState], voters: usize, wanted_voters: usize) -> Option<ReplicaId> {
-    let gone = followers
+    let lost_learner = followers
         .iter()
         .find(|state| !state.voter && state.silence >= LEARNER_SILENCE);
-    if let Some(learner) = gone {
+    if let Some(learner) = lost_learner {
         return Some(learner.replica);
     }
-    let is_heard = |state: &&FollowerState| state.silence < VOTER_SILENCE;
+    let has_replied = |state: &&FollowerState| state.silence < VOTER_SILENCE;
     let substitute = followers
         .iter()
-        .filter(is_heard)
+        .filter(has_replied)
         .any(|state| !state.voter && state.caught_up);
     if !substitute || voters < wanted_voters {
         return None;
--- a/crates/acaciabay/src/ops/plan_pool.rs
+++ b/crates/acaciabay/src/ops/plan_pool.rs
@@ -75,10 +75,10 @@
     let mut by_price: Vec<_> = domains.to_vec();
     by_price.sort_by(|one, other| price(one).total_cmp(&price(other)));
     let count = u32::try_from(domains.len()).unwrap_or(u32::MAX).max(1);
-    let (each, odd) = (needed / count, needed % count);
-    let places = by_price.into_iter().zip(0_u32..);
-    places
-        .map(|(domain, place)| (domain, each + u32::from(place < odd)))
+    let (each, remainder) = (needed / count, needed % count);
+    let ranked = by_price.into_iter().zip(0_u32..);
+    ranked
+        .map(|(domain, rank)| (domain, each + u32::from(rank < remainder)))
         .collect()
 }
 
@@ -150,23 +150,23 @@
         let reclaimable = want.reclaimable.saturating_add(share).min(room);
         // A domain keeps its reclaimable endpoints while another domain lacks some, or while the load needs them.
         let removed = have.reclaimable.saturating_sub(reclaimable);
-        let may_shrink = view.may_shrink && shortfall.count == 0 && removed <= expendable;
+        let may_remove = view.may_shrink && shortfall.count == 0 && removed <= expendable;
         if reclaimable > have.reclaimable {
             changes.push(change(domain, true, reclaimable, false));
-        } else if removed > 0 && may_shrink {
+        } else if removed > 0 && may_remove {
             expendable -= removed;
             changes.push(change(domain, true, reclaimable, false));
         }
         let surplus = have.lasting.saturating_sub(want.lasting);
         let agreed = view.agreed.get(domain).copied().unwrap_or_default();
-        let is_replaced = if view.is_idle {
+        let is_release_safe = if view.is_idle {
             agreed >= reclaimable
         } else {
             !has_released && surplus <= expendable
         };
         if want.lasting > have.lasting && view.may_shrink {
             changes.push(change(domain, false, want.lasting, false));
-        } else if surplus > 0 && view.may_release && is_replaced {
+        } else if surplus > 0 && view.may_release && is_release_safe {
             has_released = true;
             expendable = expendable.saturating_sub(surplus);
             changes.push(change(domain, false, want.lasting, true));
--- a/crates/acaciabay/src/ops/replace_refused.rs
+++ b/crates/acaciabay/src/ops/replace_refused.rs
@@ -27,7 +27,9 @@
         .map(|(domain, want)| (domain, expected_pool(domain, *want, view)))
         .collect();
     let total: u32 = expected.values().map(|pool| pool.total()).sum();
-    for _ in total.saturating_sub(endpoints_at_risk(&expected, view))..view.needed_now {
+    let dependable = total.saturating_sub(endpoints_at_risk(&expected, view));
+    let missing = view.needed_now.saturating_sub(dependable);
+    for _ in 0..missing {
         let with_room = expected.iter_mut().filter(|(_, pool)| pool.total() < spec.max);
         let Some((domain, pool)) = with_room.min_by_key(|(_, pool)| pool.total()) else {
             break;
@@ -49,8 +51,8 @@
     if refused < TOLERATED_DOMAIN_LOSSES {
         return 0;
     }
-    let left = expected.iter().filter(|(domain, _)| !view.refused.contains(**domain));
-    left.map(|(_, pool)| pool.reclaimable).max().unwrap_or(0)
+    let not_refused = expected.iter().filter(|(domain, _)| !view.refused.contains(**domain));
+    not_refused.map(|(_, pool)| pool.reclaimable).max().unwrap_or(0)
 }
 
 /// Returns the endpoints that a failure domain will have once the orders of the plan are carried out.
--- a/crates/acaciabay/src/ops/split_call.rs
+++ b/crates/acaciabay/src/ops/split_call.rs
@@ -15,6 +15,8 @@
 /// Returns `true` if the decode engine should also prefill the prompt.
 ///
 /// `pace` is the time in milliseconds that a prefill engine takes per prompt token, or `None` until it was measured.
-pub fn is_prefilled_by_decoder(prompt: &PromptShape, pace: Option<f64>) -> bool {
-    pace.is_some_and(|pace| DECODER_PREFILL_FACTOR * pace * prompt.prompt_tokens as f64 <= SEPARATE_PREFILL_OVERHEAD_MS)
+pub fn is_prefilled_by_decoder(prompt: &PromptShape, prefill_ms_per_token: Option<f64>) -> bool {
+    prefill_ms_per_token.is_some_and(|ms_per_token| {
+        DECODER_PREFILL_FACTOR * ms_per_token * prompt.prompt_tokens as f64 <= SEPARATE_PREFILL_OVERHEAD_MS
+    })
 }
