--- a/crates/acaciabay/src/core/consensus/election.rs
+++ b/crates/acaciabay/src/core/consensus/election.rs
@@ -135,12 +135,13 @@
             self.reset_election_timer(now);
         }
         let body = MessageBody::VoteReply { pre_vote, granted };
-        // A granted pre-vote carries the requested term, so that the candidate does not mistake it for a newer term.
-        let answered = if pre_vote && granted { term } else { self.term };
+        // A granted pre-vote carries the requested term, by which the candidate recognizes the reply to its present
+        // request. All other replies carry this replica's term.
+        let reply_term = if pre_vote && granted { term } else { self.term };
         self.output.messages.push(ReplicaMessage {
             from: self.id,
             to: from,
-            term: answered,
+            term: reply_term,
             body,
         });
     }
--- a/crates/acaciabay/src/core/consensus/membership.rs
+++ b/crates/acaciabay/src/core/consensus/membership.rs
@@ -136,7 +136,7 @@
         let has_vacancy = self
             .policy
             .max_voters
-            .is_none_or(|most| self.members.voters().count() < most);
+            .is_none_or(|max_voters| self.members.voters().count() < max_voters);
         if is_bound_learner && caught_up && has_vacancy && !self.has_pending_change() {
             let members = self.members.with_updated(id, |row| row.voter = true);
             self.append_as_leader(EntryPayload::Members(members));
--- a/crates/acaciabay/src/core/consensus/replication.rs
+++ b/crates/acaciabay/src/core/consensus/replication.rs
@@ -221,10 +221,10 @@
         };
         let previous_index = progress.next_index.previous();
         let Some(previous_term) = self.log.term_at(previous_index) else {
-            let in_flight = progress
+            let snapshot_in_flight = progress
                 .snapshot
                 .is_some_and(|(_, sent)| self.round < sent + SNAPSHOT_RETRY_ROUNDS);
-            if heartbeat && !in_flight {
+            if heartbeat && !snapshot_in_flight {
                 self.output.needs_snapshot.insert(to);
             }
             return false;
