--- a/crates/acaciabay/src/core/endpoint_changes.rs
+++ b/crates/acaciabay/src/core/endpoint_changes.rs
@@ -13,7 +13,7 @@
 use crate::core::subset_plan::SubsetPlan;
 
 /// Minimum interval between two scans for silent endpoints.
-const EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
+const SILENCE_SCAN_INTERVAL: Duration = Duration::from_secs(1);
 
 /// An endpoint table with the revision at which each row last changed.
 ///
@@ -22,13 +22,14 @@
 pub struct EndpointChanges {
     table: EndpointTable,
     revision: u64,
-    revisions: HashMap<EndpointName, u64>,
+    /// The revision of the latest report of each endpoint, from which the indexes are rebuilt.
+    latest_revisions: HashMap<EndpointName, u64>,
     subsets: SubsetPlan,
     /// The index for all entries, used while the subset plan is a full mesh.
     shared: ChangeIndex,
     /// The index for each entry, used while the subset plan is not a full mesh.
     by_entry: HashMap<HostName, ChangeIndex>,
-    last_expiry_at: BootTime,
+    last_silence_scan_at: BootTime,
 }
 
 /// Endpoints by the revision of their latest report.
@@ -61,7 +62,7 @@
         }
         self.shared = ChangeIndex::default();
         self.by_entry.clear();
-        for (name, revision) in &self.revisions {
+        for (name, revision) in &self.latest_revisions {
             index_revision(&mut self.subsets, &mut self.shared, &mut self.by_entry, *revision, name);
         }
     }
@@ -72,7 +73,7 @@
             return;
         }
         self.revision += 1;
-        self.revisions.insert(name.clone(), self.revision);
+        self.latest_revisions.insert(name.clone(), self.revision);
         index_revision(
             &mut self.subsets,
             &mut self.shared,
@@ -84,20 +85,20 @@
 
     /// Removes silent endpoints from the table and the index, at most once per `EXPIRY_INTERVAL`.
     pub fn forget_silent(&mut self, now: BootTime) {
-        if now.since(self.last_expiry_at) < EXPIRY_INTERVAL {
+        if now.since(self.last_silence_scan_at) < SILENCE_SCAN_INTERVAL {
             return;
         }
-        self.last_expiry_at = now;
+        self.last_silence_scan_at = now;
         self.table.forget_silent(now);
         let table = &self.table;
-        let expired: Vec<EndpointName> = self
-            .revisions
+        let removed: Vec<EndpointName> = self
+            .latest_revisions
             .keys()
             .filter(|name| table.get(name).is_none())
             .cloned()
             .collect();
-        for name in expired {
-            self.revisions.remove(&name);
+        for name in removed {
+            self.latest_revisions.remove(&name);
             self.shared.remove(&name);
             for index in self.by_entry.values_mut() {
                 index.remove(&name);
@@ -112,12 +113,12 @@
 
     /// Returns the endpoints that an entry subscribes to and that have reported after `revision`; one of another
     /// leader's count yields all.
-    pub fn since(&self, host: &HostName, revision: u64) -> impl Iterator<Item = (&EndpointName, &EndpointRow)> {
+    pub fn since(&self, entry: &HostName, revision: u64) -> impl Iterator<Item = (&EndpointName, &EndpointRow)> {
         let revision = if revision > self.revision { 0 } else { revision };
         let index = if self.subsets.is_full_mesh() {
             Some(&self.shared)
         } else {
-            self.by_entry.get(host)
+            self.by_entry.get(entry)
         };
         let names = index
             .into_iter()
@@ -143,7 +144,7 @@
         shared.insert(revision, name);
         return;
     }
-    for host in subsets.subscribers(name) {
-        by_entry.entry(host.clone()).or_default().insert(revision, name);
+    for entry in subsets.subscribers(name) {
+        by_entry.entry(entry.clone()).or_default().insert(revision, name);
     }
 }
