--- a/crates/acacia-control/src/serving/usage_windows.rs
+++ b/crates/acacia-control/src/serving/usage_windows.rs
@@ -18,29 +18,29 @@
 use super::hub::ServingHub;
 
 /// Minimum time from the start of one attempt to send a window to the next attempt.
-const RESEND_PAUSE: Duration = Duration::from_millis(500);
+const MIN_SEND_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Usage windows as delivered by one duty holder.
 #[derive(Debug, Default)]
 pub(super) struct UsageWindows {
-    sending: Option<oneshot::Receiver<()>>,
+    attempt: Option<oneshot::Receiver<()>>,
     next_send: BootTime,
 }
 
 impl UsageWindows {
     /// Commits new counts, seals the windows that are due, and sends the oldest one that the platform has not accepted.
     pub(super) async fn tick(&mut self, turn: &DutyTurn<'_>) {
-        gather(turn.hub).await;
-        seal_ended(turn.hub).await;
+        commit_counts(turn.hub).await;
+        seal_due_windows(turn.hub).await;
         self.send_oldest(turn);
     }
 
     fn send_oldest(&mut self, turn: &DutyTurn<'_>) {
-        if let Some(sending) = &mut self.sending {
-            if sending.try_recv() == Err(oneshot::error::TryRecvError::Empty) {
+        if let Some(attempt) = &mut self.attempt {
+            if attempt.try_recv() == Err(oneshot::error::TryRecvError::Empty) {
                 return;
             }
-            self.sending = None;
+            self.attempt = None;
         }
         if turn.now < self.next_send {
             return;
@@ -54,30 +54,30 @@
             .first_key_value()
             .map(|(window, counts)| (*window, counts.clone()));
         let Some((window, counts)) = oldest else { return };
-        let (done, sending) = oneshot::channel();
-        self.sending = Some(sending);
-        self.next_send = turn.now + RESEND_PAUSE;
+        let (done, attempt) = oneshot::channel();
+        self.attempt = Some(attempt);
+        self.next_send = turn.now + MIN_SEND_INTERVAL;
         let turn = turn.for_task();
         tokio::spawn(async move {
-            send(&turn, window, &counts).await;
+            deliver(&turn, window, &counts).await;
             // If the sender is dropped instead, the next tick also treats the attempt as ended.
             let _ended = done.send(());
         });
     }
 }
 
-fn window_millis(hub: &ServingHub) -> u64 {
+fn window_length_millis(hub: &ServingHub) -> u64 {
     whole_millis(hub.settings.usage_window).max(1)
 }
 
-fn sealed_total(hub: &ServingHub, window: WindowNumber) -> Option<u64> {
+fn sealed_call_count(hub: &ServingHub, window: WindowNumber) -> Option<u64> {
     let state = hub.group.read();
     state.serving.sealed.get(&window).map(|counts| counts.values().sum())
 }
 
 /// Commits the counts that entries have reported since the previous tick. If they were only in memory until the window
 /// ends, killing all processes at once would lose up to a whole window, and its calls would never be billed.
-async fn gather(hub: &ServingHub) {
+async fn commit_counts(hub: &ServingHub) {
     let rows = std::mem::take(&mut hub.soft_state().uncommitted_counts);
     if rows.is_empty() {
         return;
@@ -87,10 +87,10 @@
     let _not_leading = hub.group.propose(ControlCommand::Serving(command)).await;
 }
 
-async fn seal_ended(hub: &ServingHub) {
+async fn seal_due_windows(hub: &ServingHub) {
     let clock = WindowClock {
         wall_millis: wall_nanos() / 1_000_000,
-        length_millis: window_millis(hub),
+        length_millis: window_length_millis(hub),
         due: hub.settings.usage_due,
     };
     let last_sealed = hub.group.read().serving.last_sealed;
@@ -101,11 +101,11 @@
             return;
         }
         slog::info!(hub.log, "usage window sealed"; "event" => event::STARTS_SEALED,
-            "window" => window.0, "calls" => sealed_total(hub, window));
+            "window" => window.0, "calls" => sealed_call_count(hub, window));
     }
 }
 
-async fn send(turn: &OwnedTurn, window: WindowNumber, counts: &CustomerCounts) {
+async fn deliver(turn: &OwnedTurn, window: WindowNumber, counts: &CustomerCounts) {
     let OwnedTurn { hub, client, stamp } = turn;
     let Some(address) = hub.settings.platform_address else {
         return;
