--- a/crates/acacia-control/src/serving/pool_orders.rs
+++ b/crates/acacia-control/src/serving/pool_orders.rs
@@ -25,7 +25,7 @@
 const PLAN_INTERVAL: Duration = Duration::from_millis(500);
 /// Pause after a release of endpoints before the next one. If decode engines were released, the engines that replace
 /// them need this time to change their stage.
-const GIVE_BACK_PAUSE: Duration = Duration::from_secs(5);
+const RELEASE_PAUSE: Duration = Duration::from_secs(5);
 
 type OrderKey = (ServiceName, DomainName, bool);
 
@@ -34,8 +34,8 @@
 pub(super) struct PoolOrders {
     next_plan: BootTime,
     needs: BTreeMap<ServiceName, ReadingNeed>,
-    next_give_back: BootTime,
-    given: Arc<Mutex<BTreeMap<OrderKey, IssuedOrder>>>,
+    next_release: BootTime,
+    issued: Arc<Mutex<BTreeMap<OrderKey, IssuedOrder>>>,
 }
 
 impl PoolOrders {
@@ -47,38 +47,38 @@
         }
         self.next_plan = now + PLAN_INTERVAL;
         let Some(config) = turn.hub.config() else { return };
-        let is_settled = turn.hub.is_registry_complete(now);
+        let is_registry_complete = turn.hub.is_registry_complete(now);
         for (service, spec) in &config.services {
             let Some(pool) = &spec.pool else { continue };
-            let measure = take_measure(turn.hub, service);
+            let measure = take_prefill_load(turn.hub, service);
             let need = self.needs.entry(service.clone()).or_default();
             need.measure(now, measure, stages.wanted_makers(service));
-            self.order_service(turn, stages, service, pool, is_settled);
+            self.plan_service(turn, stages, service, pool, is_registry_complete);
         }
     }
 
-    fn order_service(
+    fn plan_service(
         &mut self,
         turn: &DutyTurn<'_>,
         stages: &mut StageOrders,
         service: &ServiceName,
         pool: &PoolSpec,
-        is_settled: bool,
+        is_registry_complete: bool,
     ) {
         let now = turn.now;
         let present = present_pools(turn.hub, service);
         let total: u32 = present.values().map(|pool| pool.total()).sum();
-        self.note_arrivals(service, &present);
-        let (agreed, refused) = (self.agreed(service), self.refused(service));
+        self.record_present(service, &present);
+        let (agreed, refused) = (self.accepted_counts(service), self.refused_domains(service));
         let has_calls = turn.hub.soft_state().has_calls();
         let need = self.needs.entry(service.clone()).or_default();
         // Without this subtraction, reclaimable endpoints that this holder has ordered would count as started by the
         // operators.
-        let ordered: u32 = agreed
+        let own_reclaimable: u32 = agreed
             .iter()
-            .map(|(domain, agreed)| reclaimable_in(&present, domain).min(*agreed))
+            .map(|(domain, agreed)| reclaimable_count(&present, domain).min(*agreed))
             .sum();
-        need.start_with(total.saturating_sub(ordered), is_settled, has_calls);
+        need.start_with(total.saturating_sub(own_reclaimable), is_registry_complete, has_calls);
         let readers = need.readers();
         let view = PoolView {
             agreed,
@@ -87,8 +87,8 @@
             needed_now: need.needed_now(),
             serving: total.saturating_sub(stages.resting_count(now)),
             is_idle: !need.is_measured(),
-            may_give_back: is_settled && now >= self.next_give_back,
-            may_shrink: is_settled,
+            may_give_back: is_registry_complete && now >= self.next_release,
+            may_shrink: is_registry_complete,
             present,
         };
         let domains: Vec<DomainName> = if pool.domain_prices.is_empty() {
@@ -114,71 +114,72 @@
                 desired: change.desired,
                 reclaimable: change.reclaimable,
             };
-            if self.give(turn, pool, order) && change.gives_back {
-                self.next_give_back = now + GIVE_BACK_PAUSE;
+            if self.issue(turn, pool, order) && change.gives_back {
+                self.next_release = now + RELEASE_PAUSE;
                 stages.hold(now);
             }
         }
     }
 
     /// Records the endpoints that are present in the issued orders, so that fulfilled orders are recognized.
-    fn note_arrivals(&self, service: &ServiceName, present: &BTreeMap<DomainName, DomainPool>) {
-        let mut given = self.given.lock();
-        for ((_, domain, reclaimable), order) in given.iter_mut().filter(|((known, ..), _)| known == service) {
+    fn record_present(&self, service: &ServiceName, present: &BTreeMap<DomainName, DomainPool>) {
+        let mut issued = self.issued.lock();
+        for ((_, domain, reclaimable), order) in issued.iter_mut().filter(|((known, ..), _)| known == service) {
             let pool = present.get(domain).copied().unwrap_or_default();
             order.record_present(if *reclaimable { pool.reclaimable } else { pool.lasting });
         }
     }
 
     /// Returns the number of reclaimable endpoints that the platform has agreed to provide, by failure domain.
-    fn agreed(&self, service: &ServiceName) -> BTreeMap<DomainName, u32> {
-        let given = self.given.lock();
-        let own = given.iter().filter(|(key, _)| is_reclaimable_of(key, service));
-        own.filter_map(|((_, domain, _), order)| Some((domain.clone(), order.accepted_count()?)))
+    fn accepted_counts(&self, service: &ServiceName) -> BTreeMap<DomainName, u32> {
+        let issued = self.issued.lock();
+        let of_service = issued.iter().filter(|(key, _)| is_reclaimable_order_for(key, service));
+        of_service
+            .filter_map(|((_, domain, _), order)| Some((domain.clone(), order.accepted_count()?)))
             .collect()
     }
 
     /// Returns the failure domains in which the platform has recently refused reclaimable endpoints.
-    fn refused(&self, service: &ServiceName) -> BTreeSet<DomainName> {
-        let given = self.given.lock();
-        let own = given.iter().filter(|(key, _)| is_reclaimable_of(key, service));
-        let refused = own.filter(|(_, order)| order.is_refused());
+    fn refused_domains(&self, service: &ServiceName) -> BTreeSet<DomainName> {
+        let issued = self.issued.lock();
+        let of_service = issued.iter().filter(|(key, _)| is_reclaimable_order_for(key, service));
+        let refused = of_service.filter(|(_, order)| order.is_refused());
         refused.map(|((_, domain, _), _)| domain.clone()).collect()
     }
 
     /// Issues an order unless the same one is still pending. Returns true if it was issued.
-    fn give(&self, turn: &DutyTurn<'_>, pool: &PoolSpec, order: PoolOrder) -> bool {
+    fn issue(&self, turn: &DutyTurn<'_>, pool: &PoolSpec, order: PoolOrder) -> bool {
         let key = (order.service.clone(), order.domain.clone(), order.reclaimable);
         {
-            let mut given = self.given.lock();
-            let before = given.get(&key);
-            if before.is_some_and(|before| before.is_pending(turn.now, order.desired)) {
+            let mut issued = self.issued.lock();
+            let previous = issued.get(&key);
+            if previous.is_some_and(|previous| previous.is_pending(turn.now, order.desired)) {
                 return false;
             }
-            let fresh = IssuedOrder::issue(turn.now, order.desired, pool.boot_time, before);
-            given.insert(key.clone(), fresh);
+            let issued_order = IssuedOrder::issue(turn.now, order.desired, pool.boot_time, previous);
+            issued.insert(key.clone(), issued_order);
         }
-        let (turn, given) = (turn.for_task(), Arc::clone(&self.given));
+        let (turn, issued) = (turn.for_task(), Arc::clone(&self.issued));
         tokio::spawn(async move {
             let is_accepted = turn.send_pool_order(&order).await;
-            if let Some(given) = given.lock().get_mut(&key) {
-                given.record_answer(boot_now(), is_accepted);
+            if let Some(issued) = issued.lock().get_mut(&key) {
+                issued.record_answer(boot_now(), is_accepted);
             }
         });
         true
     }
 }
 
-fn is_reclaimable_of((known, _, reclaimable): &OrderKey, service: &ServiceName) -> bool {
+fn is_reclaimable_order_for((known, _, reclaimable): &OrderKey, service: &ServiceName) -> bool {
     known == service && *reclaimable
 }
 
-fn reclaimable_in(present: &BTreeMap<DomainName, DomainPool>, domain: &DomainName) -> u32 {
+fn reclaimable_count(present: &BTreeMap<DomainName, DomainPool>, domain: &DomainName) -> u32 {
     present.get(domain).map_or(0, |pool| pool.reclaimable)
 }
 
 /// Returns the prefill load of a service since the previous plan, and resets its traffic counts.
-fn take_measure(hub: &ServingHub, service: &ServiceName) -> ReadingMeasure {
+fn take_prefill_load(hub: &ServingHub, service: &ServiceName) -> ReadingMeasure {
     let mut soft = hub.soft_state();
     let traffic = std::mem::take(soft.traffic.entry(service.clone()).or_default());
     ReadingMeasure {
