--- a/crates/acacia-control/src/serving/pool_orders.rs
+++ b/crates/acacia-control/src/serving/pool_orders.rs
@@ -52,7 +52,7 @@
             let Some(pool) = &spec.pool else { continue };
             let measure = take_prefill_load(turn.hub, service);
             let need = self.needs.entry(service.clone()).or_default();
-            need.measure(now, measure, stages.wanted_makers(service));
+            need.measure(now, measure, stages.wanted_decode_engines(service));
             self.plan_service(turn, stages, service, pool, is_registry_complete);
         }
     }
@@ -97,10 +97,10 @@
             pool.domain_prices.keys().cloned().collect()
         };
         let wanted = plan_pool(pool, &domains, view.needed);
-        stages.expect(service, wanted.values().map(|pool| pool.total()).sum(), readers);
+        stages.set_expected(service, wanted.values().map(|pool| pool.total()).sum(), readers);
         if view.is_idle && wanted.iter().any(|(domain, want)| view.lasting(domain) > want.lasting) {
             // Engines that the platform is about to remove need no change of stage.
-            stages.hold(now);
+            stages.suspend(now);
         }
         slog::debug!(turn.hub.log, "pool planned"; "event" => event::POOL_PLANNED, "service" => service.as_str(),
             "needed" => view.needed, "serving" => view.serving, "idle" => view.is_idle,
@@ -116,7 +116,7 @@
             };
             if self.issue(turn, pool, order) && change.gives_back {
                 self.next_release = now + RELEASE_PAUSE;
-                stages.hold(now);
+                stages.suspend(now);
             }
         }
     }
--- a/crates/acacia-control/src/serving/stage_orders.rs
+++ b/crates/acacia-control/src/serving/stage_orders.rs
@@ -17,19 +17,19 @@
 /// Interval at which stages are planned.
 const PLAN_INTERVAL: Duration = Duration::from_millis(500);
 /// Time that released endpoints take to report that they leave.
-const GIVING_BACK_TIME: Duration = Duration::from_secs(1);
+const RELEASE_REPORT_TIME: Duration = Duration::from_secs(1);
 /// Time for which a surplus of decode engines has to last before some of them change to prefill.
-const SURPLUS_TIME: Duration = Duration::from_secs(1);
+const SURPLUS_DELAY: Duration = Duration::from_secs(1);
 
 /// Planning state of a service.
 #[derive(Clone, Copy, Debug, Default)]
 struct ServiceStages {
     peak: StreamPeak,
-    wanted_makers: usize,
+    wanted_decode_engines: usize,
     /// Engines that have been ordered from the platform, including those that have not started yet.
     expected: usize,
     /// Engines that the prefill load needs.
-    readers: f64,
+    prefill_engines: f64,
     surplus_since: Option<BootTime>,
 }
 
@@ -37,7 +37,7 @@
 #[derive(Debug, Default)]
 pub(super) struct StageOrders {
     next_plan: BootTime,
-    hold_until: BootTime,
+    suspended_until: BootTime,
     services: BTreeMap<ServiceName, ServiceStages>,
     orders: EngineOrders,
 }
@@ -48,7 +48,7 @@
     /// Plans the stages of each service's engines and orders the changes.
     pub(super) fn tick(&mut self, turn: &DutyTurn<'_>) {
         let now = turn.now;
-        if now < self.next_plan.max(self.hold_until) || !turn.hub.is_registry_complete(now) {
+        if now < self.next_plan.max(self.suspended_until) || !turn.hub.is_registry_complete(now) {
             return;
         }
         self.next_plan = now + PLAN_INTERVAL;
@@ -62,20 +62,23 @@
 
     /// Suspends orders until released endpoints have reported that they leave. The platform chooses which endpoints it
     /// removes, and may choose those that would be ordered to decode.
-    pub(super) fn hold(&mut self, now: BootTime) {
-        self.hold_until = now + GIVING_BACK_TIME;
+    pub(super) fn suspend(&mut self, now: BootTime) {
+        self.suspended_until = now + RELEASE_REPORT_TIME;
     }
 
     /// Sets the number of engines that a service will have, and the number of them that the prefill load needs.
-    pub(super) fn expect(&mut self, service: &ServiceName, engines: u32, readers: f64) {
+    pub(super) fn set_expected(&mut self, service: &ServiceName, engines: u32, prefill_engines: f64) {
         let stages = self.services.entry(service.clone()).or_default();
         stages.expected = usize::try_from(engines).unwrap_or(usize::MAX);
-        stages.readers = readers;
+        stages.prefill_engines = prefill_engines;
     }
 
     /// Returns the number of engines of a service that should decode.
-    pub(super) fn wanted_makers(&self, service: &ServiceName) -> u32 {
-        let wanted = self.services.get(service).map_or(0, |stages| stages.wanted_makers);
+    pub(super) fn wanted_decode_engines(&self, service: &ServiceName) -> u32 {
+        let wanted = self
+            .services
+            .get(service)
+            .map_or(0, |stages| stages.wanted_decode_engines);
         u32::try_from(wanted).unwrap_or(u32::MAX)
     }
 
@@ -86,7 +89,7 @@
 
     fn plan_service(&mut self, turn: &DutyTurn<'_>, service: &ServiceName, spec: &EngineSpec) {
         let now = turn.now;
-        let (reported, present, is_idle) = look_at(turn, service);
+        let (reported, present, is_idle) = observe_service(turn, service);
         let has_closed = self.orders.close(now, &reported);
         let engines: Vec<EngineRow> = reported
             .into_iter()
@@ -96,25 +99,28 @@
         stages.peak.see(now, present);
         let demand = stages.peak.demand();
         let domains: BTreeSet<_> = engines.iter().map(|(_, endpoint)| &endpoint.domain).collect();
-        let makers = engines.iter().filter(|(_, endpoint)| makes_tokens(endpoint)).count();
+        let decode_engines = engines
+            .iter()
+            .filter(|(_, endpoint)| is_decode_engine(endpoint))
+            .count();
         let work = StageWork {
             present: engines.len(),
             expected: stages.expected,
-            makers: if is_idle { 0 } else { makers },
+            makers: if is_idle { 0 } else { decode_engines },
             domains: domains.len(),
             demand,
-            readers: stages.readers,
+            readers: stages.prefill_engines,
         };
         let wanted = wanted_decoders(&work, spec);
-        stages.wanted_makers = wanted;
-        if makers <= wanted {
+        stages.wanted_decode_engines = wanted;
+        if decode_engines <= wanted {
             stages.surplus_since = None;
         }
         let surplus_since = *stages.surplus_since.get_or_insert(now);
         // Before any call has come, a change costs nobody anything.
-        let is_hasty = makers > wanted && !is_idle && now.since(surplus_since) < SURPLUS_TIME;
+        let is_new_surplus = decode_engines > wanted && !is_idle && now.since(surplus_since) < SURPLUS_DELAY;
         let rows: Vec<_> = engines.iter().map(|(name, endpoint)| (name, endpoint)).collect();
-        let mut changes = if is_hasty {
+        let mut changes = if is_new_surplus {
             Vec::new()
         } else {
             plan_stages(&rows, wanted)
@@ -126,8 +132,8 @@
         for change in &changes {
             slog::info!(turn.hub.log, "stage change planned"; "event" => event::STAGE_PLANNED,
                 "service" => service.as_str(), "endpoint" => change.endpoint.as_str(), "stage" => ?change.stage,
-                "engines" => rows.len(), "makers" => makers, "wanted" => wanted,
-                "streams" => demand.streams, "held_tokens" => demand.held_tokens, "readers" => stages.readers);
+                "engines" => rows.len(), "makers" => decode_engines, "wanted" => wanted,
+                "streams" => demand.streams, "held_tokens" => demand.held_tokens, "readers" => stages.prefill_engines);
             if let Some((_, endpoint)) = engines.iter().find(|(name, _)| *name == change.endpoint) {
                 self.orders.give(turn, change, endpoint, spec.stage_switch_time);
             }
@@ -138,13 +144,13 @@
     }
 }
 
-fn makes_tokens(endpoint: &ServingEndpoint) -> bool {
+fn is_decode_engine(endpoint: &ServingEndpoint) -> bool {
     endpoint.stage == Some(EngineStage::Decode)
 }
 
 /// Returns the engines of a service as reported, the demand of the streams that they decode, and true if no call of any
 /// service runs.
-fn look_at(turn: &DutyTurn<'_>, service: &ServiceName) -> (Vec<EngineRow>, StreamDemand, bool) {
+fn observe_service(turn: &DutyTurn<'_>, service: &ServiceName) -> (Vec<EngineRow>, StreamDemand, bool) {
     let soft = turn.hub.soft_state();
     let ready = soft.registry.ready(turn.now, service).into_iter();
     let engines: Vec<EngineRow> = ready
@@ -153,7 +159,7 @@
         .collect();
     let uses = soft.work_except(None);
     let mut present = StreamDemand::default();
-    for (name, _) in engines.iter().filter(|(_, endpoint)| makes_tokens(endpoint)) {
+    for (name, _) in engines.iter().filter(|(_, endpoint)| is_decode_engine(endpoint)) {
         let work = uses.get(name).copied().unwrap_or_default();
         present.streams += work.calls as f64;
         present.held_tokens += work.held_tokens as f64;
