--- a/crates/acacia-control/src/serving/engine_orders.rs
+++ b/crates/acacia-control/src/serving/engine_orders.rs
@@ -20,23 +20,23 @@
 use super::duties::{DutyTurn, OwnedTurn};
 
 /// Time for which an order without an answer may still be carried out. The engine gets no other order meanwhile.
-const DOUBT_TIME: Duration = Duration::from_secs(14);
+const UNANSWERED_ORDER_TIME: Duration = Duration::from_secs(14);
 /// Time, in addition to the change itself, for which an engine that has accepted an order may still report its old
 /// stage. It first finishes its running calls, which takes as long as the longest answer.
-const FINISHING_TIME: Duration = Duration::from_secs(8);
+const DRAIN_TIME: Duration = Duration::from_secs(8);
 /// Time from sending an order until the engine begins to change: the transmission and the work that is in progress.
-const STEP_TIME: Duration = Duration::from_millis(500);
+const START_DELAY: Duration = Duration::from_millis(500);
 /// Delay before an engine that has refused an order gets another one.
-const REFUSED_PAUSE: Duration = Duration::from_millis(500);
+const REFUSED_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 #[derive(Clone, Copy, Debug)]
 struct OpenOrder {
     birth: EndpointBirth,
     stage: EngineStage,
     /// Time until which the engine carries out the order and takes no calls.
-    rests_until: BootTime,
+    resting_until: BootTime,
     /// Time until which the order may still take effect.
-    until: BootTime,
+    open_until: BootTime,
 }
 
 /// Open stage orders of one duty holder, by engine.
@@ -47,18 +47,18 @@
 
 impl EngineOrders {
     /// Removes orders that show in the engine's reports or can no longer take effect. Returns true if there were any.
-    pub(super) fn close(&self, now: BootTime, engines: &[(EndpointName, ServingEndpoint)]) -> bool {
+    pub(super) fn remove_settled(&self, now: BootTime, engines: &[(EndpointName, ServingEndpoint)]) -> bool {
         let mut open = self.open.lock();
-        let before = open.len();
+        let count_before = open.len();
         open.retain(|name, order| {
             let reported = engines
                 .iter()
                 .find(|(known, _)| known == name)
                 .map(|(_, endpoint)| endpoint);
-            let shows = reported.is_some_and(|endpoint| endpoint.stage == Some(order.stage));
-            now < order.until && !shows
+            let is_reported = reported.is_some_and(|endpoint| endpoint.stage == Some(order.stage));
+            now < order.open_until && !is_reported
         });
-        open.len() < before
+        open.len() < count_before
     }
 
     /// Returns an engine with the stage that it will report once its open order, if any, is carried out.
@@ -76,27 +76,33 @@
     }
 
     /// Returns true if an engine is changing to decode.
-    pub(super) fn awaits_maker(&self, now: BootTime) -> bool {
+    pub(super) fn has_pending_decode_engine(&self, now: BootTime) -> bool {
         let open = self.open.lock();
         open.values()
-            .any(|order| order.stage == EngineStage::Decode && now < order.rests_until)
+            .any(|order| order.stage == EngineStage::Decode && now < order.resting_until)
     }
 
     /// Returns the engines that take no calls because they are carrying out an order.
     pub(super) fn resting(&self, now: BootTime) -> Vec<RestingEngine> {
         let open = self.open.lock();
-        let resting = open.iter().filter(|(_, order)| now < order.rests_until);
+        let resting = open.iter().filter(|(_, order)| now < order.resting_until);
         let rows = resting.map(|(name, order)| RestingEngine {
             name: name.to_string(),
             birth: order.birth.0,
-            left_ms: whole_millis(order.rests_until.since(now)),
+            left_ms: whole_millis(order.resting_until.since(now)),
             stage: stage_to_wire(order.stage).into(),
         });
         rows.collect()
     }
 
     /// Orders an engine to change its stage, unless an earlier order to it is open.
-    pub(super) fn give(&self, turn: &DutyTurn<'_>, change: &StageChange, endpoint: &ServingEndpoint, switch: Duration) {
+    pub(super) fn issue(
+        &self,
+        turn: &DutyTurn<'_>,
+        change: &StageChange,
+        endpoint: &ServingEndpoint,
+        switch: Duration,
+    ) {
         let mut open = self.open.lock();
         if open.contains_key(&change.endpoint) {
             return;
@@ -104,22 +110,22 @@
         let order = OpenOrder {
             birth: endpoint.birth,
             stage: change.stage,
-            rests_until: turn.now + switch + STEP_TIME,
-            until: turn.now + DOUBT_TIME,
+            resting_until: turn.now + switch + START_DELAY,
+            open_until: turn.now + UNANSWERED_ORDER_TIME,
         };
         open.insert(change.endpoint.clone(), order);
         let (turn, open) = (turn.for_task(), Arc::clone(&self.open));
         let (change, address) = (change.clone(), endpoint.address);
         tokio::spawn(async move {
-            let until = match send(&turn, &change, address).await {
-                OrderOutcome::Accepted => boot_now() + switch + FINISHING_TIME,
-                OrderOutcome::Refused => boot_now() + REFUSED_PAUSE,
+            let open_until = match send_order(&turn, &change, address).await {
+                OrderOutcome::Accepted => boot_now() + switch + DRAIN_TIME,
+                OrderOutcome::Refused => boot_now() + REFUSED_RETRY_DELAY,
                 OrderOutcome::Open => return,
             };
             if let Some(order) = open.lock().get_mut(&change.endpoint) {
-                order.until = until;
+                order.open_until = open_until;
                 // It rests until it reports the new stage, however long it takes to finish what runs.
-                order.rests_until = until;
+                order.resting_until = open_until;
             }
         });
     }
@@ -135,7 +141,7 @@
 
 /// Asks the engine how many orders it has accepted, and makes the order conditional on that number. A delayed copy then
 /// fails instead of undoing a newer order.
-async fn send(turn: &OwnedTurn, change: &StageChange, address: SocketAddr) -> OrderOutcome {
+async fn send_order(turn: &OwnedTurn, change: &StageChange, address: SocketAddr) -> OrderOutcome {
     let OwnedTurn { hub, client, stamp } = turn;
     let reported = client.send(address, hub.platform.report_call()).await;
     let report = reported.ok().and_then(|(_, body)| hub.platform.read_report(&body));
--- a/crates/acacia-control/src/serving/stage_orders.rs
+++ b/crates/acacia-control/src/serving/stage_orders.rs
@@ -90,7 +90,7 @@
     fn plan_service(&mut self, turn: &DutyTurn<'_>, service: &ServiceName, spec: &EngineSpec) {
         let now = turn.now;
         let (reported, present, is_idle) = observe_service(turn, service);
-        let has_closed = self.orders.close(now, &reported);
+        let has_removed = self.orders.remove_settled(now, &reported);
         let engines: Vec<EngineRow> = reported
             .into_iter()
             .map(|(name, endpoint)| self.orders.with_open_order(name, endpoint))
@@ -125,7 +125,7 @@
         } else {
             plan_stages(&rows, wanted)
         };
-        if self.orders.awaits_maker(now) && !is_idle {
+        if self.orders.has_pending_decode_engine(now) && !is_idle {
             // The current decode engines continue until those that replace them are ready.
             changes.retain(|change| change.stage == EngineStage::Decode);
         }
@@ -135,10 +135,10 @@
                 "engines" => rows.len(), "makers" => decode_engines, "wanted" => wanted,
                 "streams" => demand.streams, "held_tokens" => demand.held_tokens, "readers" => stages.prefill_engines);
             if let Some((_, endpoint)) = engines.iter().find(|(name, _)| *name == change.endpoint) {
-                self.orders.give(turn, change, endpoint, spec.stage_switch_time);
+                self.orders.issue(turn, change, endpoint, spec.stage_switch_time);
             }
         }
-        if has_closed || !changes.is_empty() {
+        if has_removed || !changes.is_empty() {
             turn.hub.broadcast_resting(self.orders.resting(now));
         }
     }
