--- a/crates/acacia-control/src/entry_session.rs
+++ b/crates/acacia-control/src/entry_session.rs
@@ -28,10 +28,10 @@
     writer: FrameWriter<TcpStream>,
     control: Arc<Control>,
 ) -> std::io::Result<()> {
-    let (answers, waiting) = mpsc::channel(WAITING_ANSWERS);
+    let (answers, queue) = mpsc::channel(WAITING_ANSWERS);
     tokio::select! {
-        ended = read_requests(reader, Arc::clone(&control), answers.clone()) => ended,
-        ended = write_answers(writer, waiting) => ended,
+        result = read_requests(reader, Arc::clone(&control), answers.clone()) => result,
+        result = write_answers(writer, queue) => result,
         () = send_notices(control, answers) => Ok(()),
     }
 }
@@ -58,10 +58,10 @@
         };
         // Commands are submitted here rather than in the spawned task, so that they are proposed in the order in which
         // the entry sent them. Otherwise, the release of a claim could be proposed before the claim itself.
-        let begun = begin_call(&control, call).await;
+        let pending_call = start_call(&control, call).await;
         let (control, answers) = (Arc::clone(&control), answers.clone());
         tokio::spawn(async move {
-            let answer = finish_call(&control, begun).await;
+            let answer = finish_call(&control, pending_call).await;
             drop(span);
             let frame = Frame::EntryReply(answer_to_wire(boot_now(), request, &answer));
             // The channel is closed if the connection has ended. The entry then repeats its request on a new one.
@@ -73,14 +73,14 @@
 
 /// A request whose answer is not known yet.
 #[derive(Debug)]
-enum BegunCall {
+enum PendingCall {
     Command(PendingOutcome),
     Renew(LeaseRequest),
 }
 
-async fn begin_call(control: &Control, call: EntryCall) -> BegunCall {
+async fn start_call(control: &Control, call: EntryCall) -> PendingCall {
     let command = match call {
-        EntryCall::Renew(lease) => return BegunCall::Renew(lease),
+        EntryCall::Renew(lease) => return PendingCall::Renew(lease),
         EntryCall::Join { host, domain, nonce } => ControlCommand::JoinEntry { host, domain, nonce },
         EntryCall::TakeClaim(ClaimRequest { key, holder, digest }) => ControlCommand::TakeClaim {
             now: wall_now(),
@@ -91,18 +91,18 @@
         EntryCall::EndClaim { key, holder, end } => ControlCommand::EndClaim { key, holder, end },
         EntryCall::Usage(report) => ControlCommand::CountUsage(report),
     };
-    BegunCall::Command(control.group.submit(command).await)
+    PendingCall::Command(control.group.submit(command).await)
 }
 
-async fn finish_call(control: &Control, begun: BegunCall) -> EntryAnswer {
-    let answered = match begun {
-        BegunCall::Command(pending) => pending.outcome().await.map(answer_of),
-        BegunCall::Renew(lease) => renew(control, lease).await,
+async fn finish_call(control: &Control, pending_call: PendingCall) -> EntryAnswer {
+    let answer_result = match pending_call {
+        PendingCall::Command(pending) => pending.outcome().await.map(outcome_to_answer),
+        PendingCall::Renew(lease) => renew(control, lease).await,
     };
-    answered.unwrap_or_else(|NotLeading { leader_address }| EntryAnswer::NotLeader { leader_address })
+    answer_result.unwrap_or_else(|NotLeading { leader_address }| EntryAnswer::NotLeader { leader_address })
 }
 
-fn answer_of(outcome: CommandOutcome) -> EntryAnswer {
+fn outcome_to_answer(outcome: CommandOutcome) -> EntryAnswer {
     match outcome {
         CommandOutcome::Joined(incarnation) => EntryAnswer::Joined(incarnation),
         CommandOutcome::Claim(outcome) => EntryAnswer::Claim(outcome),
@@ -115,10 +115,10 @@
     }
 }
 
-async fn write_answers(mut writer: FrameWriter<TcpStream>, mut waiting: mpsc::Receiver<Frame>) -> std::io::Result<()> {
-    while let Some(frame) = waiting.recv().await {
+async fn write_answers(mut writer: FrameWriter<TcpStream>, mut queue: mpsc::Receiver<Frame>) -> std::io::Result<()> {
+    while let Some(frame) = queue.recv().await {
         writer.feed(frame).await?;
-        while let Ok(frame) = waiting.try_recv() {
+        while let Ok(frame) = queue.try_recv() {
             writer.feed(frame).await?;
         }
         writer.flush().await?;
