--- a/crates/acacia-control/src/leader_tasks.rs
+++ b/crates/acacia-control/src/leader_tasks.rs
@@ -1,7 +1,7 @@
-//! What only the leader does: it delivers orders to endpoints and usage windows to the platform.
+//! Tasks of the leader: delivery of orders to endpoints and of usage windows to the platform.
 //!
-//! Both are committed before they are sent, and sent only under the leader's lease, which is checked in the write to
-//! the socket itself. `docs/design/orders.md` says why that leaves no two processes that both believe to be in charge.
+//! Both are committed before they are sent. They are sent only under the leader's lease, which is checked at each write
+//! to the socket. `docs/design/orders.md` explains why two processes thus never both act as the leader.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,9 +27,9 @@
 
 use crate::daemon::Control;
 
-/// How often the leader looks at what is to be done.
+/// Delay between two checks for deliveries that are due.
 const TASK_INTERVAL: Duration = Duration::from_millis(100);
-/// How long an endpoint or the platform may take to answer.
+/// Maximum time for an exchange with an endpoint or the platform.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 const LARGEST_ANSWER: usize = 64 * 1024;
 
@@ -37,7 +37,7 @@
 pub(crate) async fn run_leader_tasks(control: Arc<Control>, stop: CancellationToken) {
     let group = control.group.clone();
     let guard = WriteGuard::new(move || group.may_act(boot_now()));
-    // Connections are never kept: what was written on an old one might still be delivered after a new one was used.
+    // No connection is reused: data written to an old connection could be delivered after data written to a newer one.
     let options = ClientOptions {
         user_timeout: DELIVERY_USER_TIMEOUT,
         idle_connections: 0,
@@ -109,7 +109,8 @@
     slog::info!(control.log, "order sent"; "event" => event::ORDER_SENT,
         "endpoint" => endpoint.as_str(), "number" => order.number.0, "target" => target);
     match send(&client, Method::POST, address, "/v1/orders", &body).await {
-        // A refusal settles the order too: the endpoint has a later one, or is another incarnation.
+        // A refusal also settles the order: the endpoint has already received a later one, or it has another
+        // incarnation.
         Ok(StatusCode::OK | StatusCode::CONFLICT) => settle_order(control, endpoint, order).await,
         Ok(status) => note_unsettled(&control, &endpoint, &order, &status.to_string()),
         Err(error) => note_unsettled(&control, &endpoint, &order, &format!("{error:#}")),
@@ -134,11 +135,11 @@
 
 async fn seal_window(control: &Control) {
     let next = control.group.read().usage.last_window() + 1;
-    // If leadership is lost meanwhile, the next leader seals a window of its own.
+    // If the leadership is lost before the commit, the next leader seals a window itself.
     let _not_leading = control.group.propose(ControlCommand::SealWindow(next)).await;
 }
 
-/// Sends the oldest window that is not acknowledged; the next one waits for it.
+/// Sends the oldest unacknowledged window. Later windows are sent only after it has been acknowledged.
 fn deliver_window(control: &Arc<Control>, client: &Arc<EndpointClient>, platform: SocketAddr) {
     let Some(window) = control.group.read().usage.pending().first().cloned() else {
         return;
@@ -171,7 +172,9 @@
     }
 }
 
-/// The rows are sealed and ordered, so that every copy of a window is the same to the byte.
+/// Encodes a window for the platform.
+///
+/// The rows of a sealed window are final and ordered, so all deliveries of a window are identical byte for byte.
 fn window_to_json(window: &UsageWindow) -> Value {
     let rows = window.rows.iter().map(|(customer, figures)| {
         json!({
