--- a/crates/acacia-control/src/leader_tasks.rs
+++ b/crates/acacia-control/src/leader_tasks.rs
@@ -28,10 +28,10 @@
 use crate::daemon::Control;
 
 /// Delay between two checks for deliveries that are due.
-const TASK_INTERVAL: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Maximum time for an exchange with an endpoint or the platform.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-const LARGEST_ANSWER: usize = 64 * 1024;
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(2);
+const MAX_ANSWER_BYTES: usize = 64 * 1024;
 
 /// Runs the leader's tasks until `stop` is cancelled.
 pub(crate) async fn run_leader_tasks(control: Arc<Control>, stop: CancellationToken) {
@@ -49,7 +49,7 @@
     loop {
         tokio::select! {
             () = stop.cancelled() => return,
-            () = tokio::time::sleep(TASK_INTERVAL) => {}
+            () = tokio::time::sleep(CHECK_INTERVAL) => {}
         }
         if !control.group.may_act(boot_now()) {
             continue;
@@ -112,12 +112,12 @@
         // A refusal also settles the order: the endpoint has already received a later one, or it has another
         // incarnation.
         Ok(StatusCode::OK | StatusCode::CONFLICT) => settle_order(control, endpoint, order).await,
-        Ok(status) => note_unsettled(&control, &endpoint, &order, &status.to_string()),
-        Err(error) => note_unsettled(&control, &endpoint, &order, &format!("{error:#}")),
+        Ok(status) => record_unsettled(&control, &endpoint, &order, &status.to_string()),
+        Err(error) => record_unsettled(&control, &endpoint, &order, &format!("{error:#}")),
     }
 }
 
-fn note_unsettled(control: &Control, endpoint: &EndpointName, order: &OrderRow, reason: &str) {
+fn record_unsettled(control: &Control, endpoint: &EndpointName, order: &OrderRow, reason: &str) {
     control.soft().orders.end(order.number.0, boot_now());
     slog::warn!(control.log, "order unsettled"; "event" => event::ORDER_UNSETTLED,
         "endpoint" => endpoint.as_str(), "number" => order.number.0, "reason" => reason);
@@ -205,11 +205,11 @@
             .send(boot_now(), address, ConnectionChoice::Fresh, request)
             .await?;
         let (parts, incoming) = answer.response.into_parts();
-        let whole = read_body(incoming, LARGEST_ANSWER, ANSWER_TIMEOUT).await;
+        let whole = read_body(incoming, MAX_ANSWER_BYTES, EXCHANGE_TIMEOUT).await;
         whole.map_err(|refusal| anyhow::anyhow!("answer was not whole: {refusal:?}"))?;
         anyhow::Ok(parts.status)
     };
-    tokio::time::timeout(ANSWER_TIMEOUT, exchange)
+    tokio::time::timeout(EXCHANGE_TIMEOUT, exchange)
         .await
         .context("no answer in time")?
 }
