--- a/crates/acacia-control/src/share_plan.rs
+++ b/crates/acacia-control/src/share_plan.rs
@@ -1,4 +1,4 @@
-//! Divides the pools between the entries, a few times a second.
+//! Division of the pools' capacity among the entries, recomputed a few times a second.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,14 +16,14 @@
 
 use crate::daemon::SoftState;
 
-/// How long a division stands. Working it out for every renewal would cost the leader a scan of all endpoints seven
-/// hundred times a second at the target's size.
+/// Minimum interval between two divisions. With one division per lease renewal, the leader would scan all endpoints 700
+/// times a second at the size that the system is designed for.
 const PLAN_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How long a new leader waits for endpoints' reports: three of their intervals.
+/// Time that a new leader waits for the reports of the endpoints: three report intervals.
 const REPORTS_HEARD: Duration = Duration::from_millis(1_500);
 
-/// The present division of all pools.
+/// The current division of all pools.
 #[derive(Debug, Default)]
 pub(crate) struct SharePlan {
     table: ShareTable,
@@ -39,7 +39,7 @@
 }
 
 impl SoftState {
-    /// Takes an entry's demands and returns its shares.
+    /// Records an entry's demands and returns its share of each pool that it demands.
     pub(crate) fn grant_shares(
         &mut self,
         now: BootTime,
@@ -87,7 +87,7 @@
     }
 }
 
-/// Lets an entry keep its share.
+/// Returns the share that an entry reported, with its grant number unchanged.
 fn as_before(demand: &PoolDemand) -> PoolShare {
     PoolShare {
         pieces: demand.share,
