--- a/crates/acacia-control/src/share_plan.rs
+++ b/crates/acacia-control/src/share_plan.rs
@@ -18,10 +18,10 @@
 
 /// Minimum interval between two divisions. With one division per lease renewal, the leader would scan all endpoints 700
 /// times a second at the size that the system is designed for.
-const PLAN_INTERVAL: Duration = Duration::from_millis(250);
+const MIN_PLAN_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Time that a new leader waits for the reports of the endpoints: three report intervals.
-const REPORTS_HEARD: Duration = Duration::from_millis(1_500);
+const REPORT_WAIT: Duration = Duration::from_millis(1_500);
 
 /// The current division of all pools.
 #[derive(Debug, Default)]
@@ -29,7 +29,7 @@
     table: ShareTable,
     pools: BTreeMap<PoolName, PoolPlan>,
     throttles: BTreeMap<PoolName, PoolThrottle>,
-    made_at: Option<BootTime>,
+    computed_at: Option<BootTime>,
 }
 
 #[derive(Debug, Default)]
@@ -53,19 +53,19 @@
         }
         if self
             .shares
-            .made_at
-            .is_none_or(|made_at| now.since(made_at) >= PLAN_INTERVAL)
+            .computed_at
+            .is_none_or(|computed_at| now.since(computed_at) >= MIN_PLAN_INTERVAL)
         {
             let presence = &self.presence;
             self.shares.table.retain(|host| presence.may_serve(host, now));
-            self.shares.make(now, &state.config, self.endpoints.table());
+            self.shares.recompute(now, &state.config, self.endpoints.table());
         }
-        let settled = self.is_settled(now, state);
+        let can_divide = self.can_divide_pools(now, state);
         let grant = |(pool, demand): (PoolName, PoolDemand)| {
-            let share = if settled {
+            let share = if can_divide {
                 self.shares.grant(&pool, host)
             } else {
-                as_before(&demand)
+                unchanged_share(&demand)
             };
             (pool, share)
         };
@@ -79,16 +79,16 @@
     /// A new leader has heard of no endpoint yet, and would take every pool for empty; it waits until each has reported.
     /// Nor does it know what the leader before it has granted to entries that it has not heard of; it waits until all
     /// have asked, or those grants must have lapsed. Until then every entry keeps what it has.
-    fn is_settled(&self, now: BootTime, state: &ControlState) -> bool {
+    fn can_divide_pools(&self, now: BootTime, state: &ControlState) -> bool {
         let since = self.presence.leader_since();
-        let lapsed = now >= since + SERVING_LEASE + LEASE_DRIFT;
-        let all_asked = state.entries.rows().all(|(host, _)| self.presence.get(host).is_some());
-        now >= since + REPORTS_HEARD && (lapsed || all_asked)
+        let leases_expired = now >= since + SERVING_LEASE + LEASE_DRIFT;
+        let all_renewed = state.entries.rows().all(|(host, _)| self.presence.get(host).is_some());
+        now >= since + REPORT_WAIT && (leases_expired || all_renewed)
     }
 }
 
 /// Returns the share that an entry reported, with its grant number unchanged.
-fn as_before(demand: &PoolDemand) -> PoolShare {
+fn unchanged_share(demand: &PoolDemand) -> PoolShare {
     PoolShare {
         pieces: demand.share,
         number: demand.number,
@@ -97,7 +97,7 @@
 }
 
 impl SharePlan {
-    fn make(&mut self, now: BootTime, config: &EntryConfig, endpoints: &EndpointTable) {
+    fn recompute(&mut self, now: BootTime, config: &EntryConfig, endpoints: &EndpointTable) {
         let mut pools = BTreeMap::new();
         for pool in config.pools.rows() {
             let ready = endpoints
@@ -116,7 +116,7 @@
             pools.insert(pool.name.clone(), PoolPlan { capacity, parts });
         }
         self.pools = pools;
-        self.made_at = Some(now);
+        self.computed_at = Some(now);
     }
 
     fn throttle(&mut self, now: BootTime, pool: &PoolName) -> &mut PoolThrottle {
