--- a/crates/acacia-control/src/operator_members.rs
+++ b/crates/acacia-control/src/operator_members.rs
@@ -1,4 +1,4 @@
-//! The members of the group, as operators see and change them.
+//! Operator requests that list and change the members of the group.
 
 use std::time::Duration;
 
@@ -12,8 +12,9 @@
 use crate::driver::describe_refusal;
 use crate::operator_api::{OperatorAnswer, OperatorRefusal, OperatorRequest};
 
-/// How long a change waits for the one before it.
+/// Maximum time for which a change waits until the preceding one is committed.
 const BUSY_TIMEOUT: Duration = Duration::from_secs(5);
+/// Delay between two attempts while the preceding change is not committed.
 const BUSY_PAUSE: Duration = Duration::from_millis(50);
 
 pub(crate) async fn list_members(control: &Control) -> OperatorAnswer {
@@ -21,7 +22,7 @@
     Ok(json!({"members": members_json(control)}))
 }
 
-/// Returns the members as they stand in answers.
+/// Encodes the members for a response.
 pub(crate) fn members_json(control: &Control) -> Value {
     let status = control.group.status().borrow().clone();
     let rows = status.members.rows().map(|(id, row)| {
@@ -53,7 +54,8 @@
     };
     let replica = match change(control, admission).await {
         Ok(replica) => replica,
-        // The answer to the same admission was lost, and the operator's client has sent it again.
+        // The host is already a member under this address: the answer to an earlier identical request was lost, and the
+        // client has sent the request again.
         Err(MemberChangeError::HostTaken(replica)) if address_of(control, replica).as_deref() == Some(address) => {
             replica
         }
@@ -70,7 +72,7 @@
     Ok(json!({"host": host, "removed": replica.0}))
 }
 
-/// Removes a member whose disk was lost and admits its host anew, under another number.
+/// Removes a member whose disk was lost and adds its host again as a new member with another replica number.
 pub(crate) async fn replace_member(control: &Control, host: &str) -> OperatorAnswer {
     control.group.confirm().await?;
     let (old, address) = find(control, host)?;
@@ -97,7 +99,7 @@
     })
 }
 
-/// Makes a change as soon as the one before it is committed.
+/// Makes a change, and retries it for up to `BUSY_TIMEOUT` while the preceding one is not committed.
 async fn change(control: &Control, change: MemberChange) -> Result<ReplicaId, MemberChangeError> {
     let give_up = boot_now() + BUSY_TIMEOUT;
     loop {
