--- a/crates/acacia-control/src/operator_members.rs
+++ b/crates/acacia-control/src/operator_members.rs
@@ -13,9 +13,9 @@
 use crate::operator_api::{OperatorAnswer, OperatorRefusal, OperatorRequest};
 
 /// Maximum time for which a change waits until the preceding one is committed.
-const BUSY_TIMEOUT: Duration = Duration::from_secs(5);
+const PENDING_CHANGE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Delay between two attempts while the preceding change is not committed.
-const BUSY_PAUSE: Duration = Duration::from_millis(50);
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 pub(crate) async fn list_members(control: &Control) -> OperatorAnswer {
     control.group.confirm().await?;
@@ -48,46 +48,46 @@
         let message = "expected `host` and `address` (an IP address with a port)";
         return Err(OperatorRefusal::new(StatusCode::BAD_REQUEST, "bad_member", message));
     };
-    let admission = MemberChange::Add {
+    let addition = MemberChange::Add {
         host: host.into(),
         address: address.to_owned(),
     };
-    let replica = match change(control, admission).await {
+    let replica = match change(control, addition).await {
         Ok(replica) => replica,
         // The host is already a member under this address: the answer to an earlier identical request was lost, and the
         // client has sent the request again.
-        Err(MemberChangeError::HostTaken(replica)) if address_of(control, replica).as_deref() == Some(address) => {
+        Err(MemberChangeError::HostTaken(replica)) if member_address(control, replica).as_deref() == Some(address) => {
             replica
         }
-        Err(refusal) => return Err(refusal_of(control, &refusal)),
+        Err(refusal) => return Err(refusal_from(control, &refusal)),
     };
     Ok(json!({"host": host, "replica": replica.0}))
 }
 
 pub(crate) async fn remove_member(control: &Control, host: &str) -> OperatorAnswer {
     control.group.confirm().await?;
-    let (replica, _) = find(control, host)?;
+    let (replica, _) = find_member(control, host)?;
     let removed = change(control, MemberChange::Remove { replica }).await;
-    removed.map_err(|refusal| refusal_of(control, &refusal))?;
+    removed.map_err(|refusal| refusal_from(control, &refusal))?;
     Ok(json!({"host": host, "removed": replica.0}))
 }
 
 /// Removes a member whose disk was lost and adds its host again as a new member with another replica number.
 pub(crate) async fn replace_member(control: &Control, host: &str) -> OperatorAnswer {
     control.group.confirm().await?;
-    let (old, address) = find(control, host)?;
+    let (old, address) = find_member(control, host)?;
     let removed = change(control, MemberChange::Remove { replica: old }).await;
-    removed.map_err(|refusal| refusal_of(control, &refusal))?;
-    let admission = MemberChange::Add {
+    removed.map_err(|refusal| refusal_from(control, &refusal))?;
+    let addition = MemberChange::Add {
         host: host.into(),
         address,
     };
-    let admitted = change(control, admission).await;
-    let replica = admitted.map_err(|refusal| refusal_of(control, &refusal))?;
+    let added = change(control, addition).await;
+    let replica = added.map_err(|refusal| refusal_from(control, &refusal))?;
     Ok(json!({"host": host, "removed": old.0, "replica": replica.0}))
 }
 
-fn find(control: &Control, host: &str) -> Result<(ReplicaId, String), OperatorRefusal> {
+fn find_member(control: &Control, host: &str) -> Result<(ReplicaId, String), OperatorRefusal> {
     let status = control.group.status().borrow().clone();
     let found = status
         .members
@@ -99,24 +99,24 @@
     })
 }
 
-/// Makes a change, and retries it for up to `BUSY_TIMEOUT` while the preceding one is not committed.
+/// Makes a change, and retries it for up to `PENDING_CHANGE_TIMEOUT` while the preceding one is not committed.
 async fn change(control: &Control, change: MemberChange) -> Result<ReplicaId, MemberChangeError> {
-    let give_up = boot_now() + BUSY_TIMEOUT;
+    let deadline = boot_now() + PENDING_CHANGE_TIMEOUT;
     loop {
         match control.group.change_members(change.clone()).await {
             Ok(replica) => return Ok(replica),
-            Err(MemberChangeError::ChangePending) if boot_now() < give_up => tokio::time::sleep(BUSY_PAUSE).await,
+            Err(MemberChangeError::ChangePending) if boot_now() < deadline => tokio::time::sleep(RETRY_INTERVAL).await,
             Err(refusal) => return Err(refusal),
         }
     }
 }
 
-fn address_of(control: &Control, replica: ReplicaId) -> Option<String> {
+fn member_address(control: &Control, replica: ReplicaId) -> Option<String> {
     let status = control.group.status().borrow().clone();
     status.members.get(replica).map(|row| row.address.clone())
 }
 
-fn refusal_of(control: &Control, refusal: &MemberChangeError) -> OperatorRefusal {
+fn refusal_from(control: &Control, refusal: &MemberChangeError) -> OperatorRefusal {
     match refusal {
         MemberChangeError::NotLeader(_) => {
             let status = control.group.status().borrow().clone();
