--- a/crates/acacia-control/src/operator_tables.rs
+++ b/crates/acacia-control/src/operator_tables.rs
@@ -1,4 +1,4 @@
-//! Reading and writing the two tables.
+//! Operator requests that read and write the routes and pools tables.
 
 use acacia_runtime::event;
 use acacia_settings::{Findings, pools_from_json, pools_to_json, routes_from_json, routes_to_json};
@@ -33,20 +33,22 @@
     }
 }
 
-/// How large an edit is, for the operator's eyes.
+/// Numbers of rows that an edit adds or replaces and of rows that it removes, for the response to the operator.
 #[derive(Clone, Copy, Debug)]
 struct EditSize {
     upserts: usize,
     removals: usize,
 }
 
-/// A write that is ready to be proposed.
+/// A table write that has been checked and can be proposed.
 #[derive(Debug)]
 struct PlannedWrite {
     command: ControlCommand,
     size: EditSize,
     warnings: Vec<TableWarning>,
+    /// The current number of the table.
     current: TableNumber,
+    /// True if the same write has been accepted before. It then succeeds although the table has a later number.
     is_resend: bool,
 }
 
