--- a/crates/acacia-control/src/operator_api.rs
+++ b/crates/acacia-control/src/operator_api.rs
@@ -25,7 +25,7 @@
 use crate::operator_members::{add_member, list_members, members_json, remove_member, replace_member};
 use crate::operator_tables::{TableName, read_table, write_table};
 
-const LARGEST_BODY: usize = 64 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Answers operators' requests.
@@ -76,7 +76,7 @@
     }
 }
 
-pub(crate) type OperatorAnswer = Result<Value, OperatorRefusal>;
+pub(crate) type OperatorResult = Result<Value, OperatorRefusal>;
 
 /// A request whose body has arrived.
 #[derive(Debug)]
@@ -130,7 +130,7 @@
         }
     }
 
-    async fn try_answer(&self, request: Request<Incoming>) -> OperatorAnswer {
+    async fn try_answer(&self, request: Request<Incoming>) -> OperatorResult {
         self.authorize(&request)?;
         let request = read_request(request).await?;
         let segments: Vec<&str> = request.path.trim_matches('/').split('/').collect();
@@ -176,7 +176,7 @@
         ))
     }
 
-    async fn list_keys(&self) -> OperatorAnswer {
+    async fn list_keys(&self) -> OperatorResult {
         self.control.group.confirm().await?;
         let state = self.control.group.read();
         let keys = state
@@ -187,7 +187,7 @@
         Ok(json!({"keys": keys.collect::<Vec<_>>()}))
     }
 
-    async fn issue_key(&self, request: &OperatorRequest) -> OperatorAnswer {
+    async fn issue_key(&self, request: &OperatorRequest) -> OperatorResult {
         let body = request.json()?;
         let customer = body["customer"].as_str().filter(|customer| !customer.is_empty());
         let digest = body["sha256"].as_str().and_then(ContentDigest::from_hex);
@@ -203,23 +203,23 @@
             .await
     }
 
-    async fn withdraw_key(&self, id: &str) -> OperatorAnswer {
+    async fn withdraw_key(&self, id: &str) -> OperatorResult {
         let id = KeyId::new(id);
         self.change_key(ControlCommand::WithdrawKey(id.clone()), &id).await
     }
 
-    async fn change_key(&self, command: ControlCommand, id: &KeyId) -> OperatorAnswer {
+    async fn change_key(&self, command: ControlCommand, id: &KeyId) -> OperatorResult {
         match self.control.group.propose(command).await? {
             CommandOutcome::Key { changed, version } => {
                 slog::info!(self.control.log, "key changed"; "event" => event::CHANGE_ACCEPTED,
                     "key" => id.as_str(), "changed" => changed, "version" => version.0);
                 Ok(json!({"key": id.as_str(), "changed": changed, "version": version.0}))
             }
-            other => Err(unexpected(&other)),
+            other => Err(unexpected_outcome(&other)),
         }
     }
 
-    async fn remove_entry(&self, host: &str) -> OperatorAnswer {
+    async fn remove_entry(&self, host: &str) -> OperatorResult {
         self.control
             .group
             .propose(ControlCommand::RemoveEntry(HostName::new(host)))
@@ -228,7 +228,7 @@
     }
 
     /// Records the intent to order an endpoint; it is sent by the leader's tasks.
-    async fn order(&self, name: &str, target: OrderTarget) -> OperatorAnswer {
+    async fn order(&self, name: &str, target: OrderTarget) -> OperatorResult {
         let endpoint = EndpointName::new(name);
         self.control.group.confirm().await?;
         let known = self
@@ -257,11 +257,11 @@
                 let message = format!("order {} to `{name}` is not settled yet", number.0);
                 Err(OperatorRefusal::new(StatusCode::CONFLICT, "order_unsettled", message))
             }
-            other => Err(unexpected(&other)),
+            other => Err(unexpected_outcome(&other)),
         }
     }
 
-    async fn usage(&self) -> OperatorAnswer {
+    async fn usage(&self) -> OperatorResult {
         self.control.group.confirm().await?;
         let state = self.control.group.read();
         let rows = state.usage.totals().map(|(customer, figures)| {
@@ -275,7 +275,7 @@
         Ok(json!({"usage": rows.collect::<Vec<_>>(), "last_window": state.usage.last_window()}))
     }
 
-    async fn in_force(&self, request: &OperatorRequest) -> OperatorAnswer {
+    async fn in_force(&self, request: &OperatorRequest) -> OperatorResult {
         let version = ConfigVersion(request.number("version")?);
         self.control.group.confirm().await?;
         let state = self.control.group.read();
@@ -288,7 +288,7 @@
         Ok(json!({"in_force": hosts.is_empty() && state.version() >= version, "behind": hosts}))
     }
 
-    async fn status(&self) -> OperatorAnswer {
+    async fn status(&self) -> OperatorResult {
         self.control.group.confirm().await?;
         let state = self.control.group.read();
         let now = boot_now();
@@ -329,14 +329,14 @@
     }
 }
 
-pub(crate) fn unexpected(outcome: &CommandOutcome) -> OperatorRefusal {
+pub(crate) fn unexpected_outcome(outcome: &CommandOutcome) -> OperatorRefusal {
     let message = format!("command came to an unexpected outcome: {outcome:?}");
     OperatorRefusal::new(StatusCode::INTERNAL_SERVER_ERROR, "unexpected", message)
 }
 
 async fn read_request(request: Request<Incoming>) -> Result<OperatorRequest, OperatorRefusal> {
     let (parts, body) = request.into_parts();
-    let body = read_body(body, LARGEST_BODY, BODY_TIMEOUT)
+    let body = read_body(body, MAX_BODY_BYTES, BODY_TIMEOUT)
         .await
         .map_err(|refusal| match refusal {
             BodyRefusal::TooLarge => {
--- a/crates/acacia-control/src/operator_members.rs
+++ b/crates/acacia-control/src/operator_members.rs
@@ -10,14 +10,14 @@
 
 use crate::daemon::Control;
 use crate::driver::describe_refusal;
-use crate::operator_api::{OperatorAnswer, OperatorRefusal, OperatorRequest};
+use crate::operator_api::{OperatorRefusal, OperatorRequest, OperatorResult};
 
 /// Maximum time for which a change waits until the preceding one is committed.
 const PENDING_CHANGE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Delay between two attempts while the preceding change is not committed.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-pub(crate) async fn list_members(control: &Control) -> OperatorAnswer {
+pub(crate) async fn list_members(control: &Control) -> OperatorResult {
     control.group.confirm().await?;
     Ok(json!({"members": members_json(control)}))
 }
@@ -38,7 +38,7 @@
     rows.collect()
 }
 
-pub(crate) async fn add_member(control: &Control, request: &OperatorRequest) -> OperatorAnswer {
+pub(crate) async fn add_member(control: &Control, request: &OperatorRequest) -> OperatorResult {
     let body = request.json()?;
     let host = body["host"].as_str().filter(|host| !host.is_empty());
     let address = body["address"]
@@ -64,7 +64,7 @@
     Ok(json!({"host": host, "replica": replica.0}))
 }
 
-pub(crate) async fn remove_member(control: &Control, host: &str) -> OperatorAnswer {
+pub(crate) async fn remove_member(control: &Control, host: &str) -> OperatorResult {
     control.group.confirm().await?;
     let (replica, _) = find_member(control, host)?;
     let removed = change(control, MemberChange::Remove { replica }).await;
@@ -73,7 +73,7 @@
 }
 
 /// Removes a member whose disk was lost and adds its host again as a new member with another replica number.
-pub(crate) async fn replace_member(control: &Control, host: &str) -> OperatorAnswer {
+pub(crate) async fn replace_member(control: &Control, host: &str) -> OperatorResult {
     control.group.confirm().await?;
     let (old, address) = find_member(control, host)?;
     let removed = change(control, MemberChange::Remove { replica: old }).await;
--- a/crates/acacia-control/src/operator_tables.rs
+++ b/crates/acacia-control/src/operator_tables.rs
@@ -10,7 +10,7 @@
 use serde_json::{Value, json};
 
 use crate::daemon::Control;
-use crate::operator_api::{OperatorAnswer, OperatorRefusal, OperatorRequest, unexpected};
+use crate::operator_api::{OperatorRefusal, OperatorRequest, OperatorResult, unexpected_outcome};
 
 /// The tables that operators edit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -52,7 +52,7 @@
     is_resend: bool,
 }
 
-pub(crate) async fn read_table(control: &Control, name: TableName) -> OperatorAnswer {
+pub(crate) async fn read_table(control: &Control, name: TableName) -> OperatorResult {
     control.group.confirm().await?;
     let state = control.group.read();
     let (number, rows) = match name {
@@ -62,13 +62,13 @@
     Ok(json!({"number": number.0, "rows": rows}))
 }
 
-pub(crate) async fn write_table(control: &Control, name: TableName, request: &OperatorRequest) -> OperatorAnswer {
+pub(crate) async fn write_table(control: &Control, name: TableName, request: &OperatorRequest) -> OperatorResult {
     let expected = TableNumber(request.number("expect")?);
     let document = request.json()?;
     control.group.confirm().await?;
     let plan = plan_write(control, name, expected, &document)?;
     if !plan.is_resend && plan.current != expected {
-        return Err(conflict(expected, plan.current));
+        return Err(conflict_refusal(expected, plan.current));
     }
     let mut answer = json!({
         "upserts": plan.size.upserts,
@@ -87,8 +87,8 @@
             answer["version"] = json!(version.0);
             Ok(answer)
         }
-        CommandOutcome::Conflict(other) => Err(conflict(expected, other.current)),
-        other => Err(unexpected(&other)),
+        CommandOutcome::Conflict(other) => Err(conflict_refusal(expected, other.current)),
+        other => Err(unexpected_outcome(&other)),
     }
 }
 
@@ -102,10 +102,10 @@
     let state = control.group.read();
     match name {
         TableName::Routes => {
-            let rows = routes_from_json(document).map_err(|findings| refuse_findings(&findings))?;
+            let rows = routes_from_json(document).map_err(|findings| findings_refusal(&findings))?;
             let warnings = check_routes(&state.config, &rows);
             let edit = state.config.routes.diff(expected, digest, rows);
-            Ok(planned(
+            Ok(planned_write(
                 &state.config.routes,
                 edit,
                 warnings,
@@ -113,15 +113,20 @@
             ))
         }
         TableName::Pools => {
-            let rows = pools_from_json(document).map_err(|findings| refuse_findings(&findings))?;
+            let rows = pools_from_json(document).map_err(|findings| findings_refusal(&findings))?;
             let warnings = check_pools(&state.config, &rows);
             let edit = state.config.pools.diff(expected, digest, rows);
-            Ok(planned(&state.config.pools, edit, warnings, ControlCommand::EditPools))
+            Ok(planned_write(
+                &state.config.pools,
+                edit,
+                warnings,
+                ControlCommand::EditPools,
+            ))
         }
     }
 }
 
-fn planned<R: TableRow>(
+fn planned_write<R: TableRow>(
     table: &NumberedTable<R>,
     edit: TableEdit<R>,
     warnings: Vec<TableWarning>,
@@ -139,7 +144,7 @@
     }
 }
 
-fn conflict(expected: TableNumber, current: TableNumber) -> OperatorRefusal {
+fn conflict_refusal(expected: TableNumber, current: TableNumber) -> OperatorRefusal {
     let message = format!(
         "table is at number {}, not at {}; read it again and repeat the edit",
         current.0, expected.0
@@ -147,7 +152,7 @@
     OperatorRefusal::new(StatusCode::CONFLICT, "conflict", message).with_detail(json!({"current": current.0}))
 }
 
-fn refuse_findings(findings: &Findings) -> OperatorRefusal {
+fn findings_refusal(findings: &Findings) -> OperatorRefusal {
     let list = findings
         .list()
         .iter()
