--- a/crates/acacia-control/src/operator_api.rs
+++ b/crates/acacia-control/src/operator_api.rs
@@ -1,5 +1,5 @@
-//! The operators' interface: HTTP with JSON, behind a bearer token. `docs/OPERATING.md` shows it through the `acacia`
-//! command, which is its main user.
+//! The HTTP interface for operators, with JSON bodies and a bearer token. Its main client is the `acacia` command, with
+//! which `docs/OPERATING.md` shows it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,14 +28,14 @@
 const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Answers operators' requests.
+/// Handler of operators' requests.
 #[derive(Clone, Debug)]
 pub(crate) struct OperatorApi {
     control: Arc<Control>,
     token: ContentDigest,
 }
 
-/// A refusal with the status and the code that operators' tools rely on.
+/// A refused request. Operators' tools rely on the HTTP status and the code.
 #[derive(Debug)]
 pub(crate) struct OperatorRefusal {
     pub(crate) status: StatusCode,
@@ -78,7 +78,7 @@
 
 pub(crate) type OperatorResult = Result<Value, OperatorRefusal>;
 
-/// A request whose body has arrived.
+/// An authorized request with its complete body.
 #[derive(Debug)]
 pub(crate) struct OperatorRequest {
     pub(crate) method: Method,
@@ -88,13 +88,17 @@
 }
 
 impl OperatorRequest {
-    /// Returns a parameter of the query.
+    /// Returns the value of a query parameter, without percent-decoding.
     pub(crate) fn parameter(&self, name: &str) -> Option<&str> {
         let mut pairs = self.query.split('&').filter_map(|pair| pair.split_once('='));
         pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
     }
 
-    /// Returns a parameter of the query that must be a number.
+    /// Returns the value of a numeric query parameter.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the parameter is missing or is not a number.
     pub(crate) fn number(&self, name: &str) -> Result<u64, OperatorRefusal> {
         let value = self.parameter(name).and_then(|value| value.parse().ok());
         value.ok_or_else(|| {
@@ -227,7 +231,7 @@
         Ok(json!({"removed": host}))
     }
 
-    /// Records the intent to order an endpoint; it is sent by the leader's tasks.
+    /// Commits an order to an endpoint. The leader's tasks send it afterwards.
     async fn order(&self, name: &str, target: OrderTarget) -> OperatorResult {
         let endpoint = EndpointName::new(name);
         self.control.group.confirm().await?;
