--- a/crates/acacia-control/src/daemon.rs
+++ b/crates/acacia-control/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping the daemon.
+//! Start and stop of the control daemon.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -39,7 +39,7 @@
 use crate::share_plan::SharePlan;
 use crate::storage::{DataFolder, FolderIdentity};
 
-/// What the tasks of one control process share.
+/// State shared by the tasks of a control process.
 #[derive(Debug)]
 pub(crate) struct Control {
     pub(crate) settings: ControlSettings,
@@ -54,16 +54,16 @@
 pub(crate) struct SoftState {
     pub(crate) presence: PresenceTable,
     pub(crate) endpoints: EndpointChanges,
-    /// What the entries may have in use of each pool.
+    /// The entries' shares of each pool.
     pub(crate) shares: SharePlan,
-    /// Orders under way.
+    /// Attempts to deliver orders.
     pub(crate) orders: DeliveryTable,
-    /// Usage windows under way.
+    /// Attempts to deliver usage windows.
     pub(crate) windows: DeliveryTable,
 }
 
 impl SoftState {
-    /// Returns what has been reported since `mark` of the endpoints that an entry hears of.
+    /// Returns the reports after revision `mark` of the endpoints that the entry on `host` subscribes to.
     pub(crate) fn changes_for(&mut self, entries: &EntryTable, host: &HostName, mark: u64) -> Vec<ReportRow> {
         self.endpoints.set_entries(entries);
         self.endpoints
@@ -74,10 +74,10 @@
 }
 
 impl Control {
-    /// Returns the soft state of the present leadership.
+    /// Locks and returns the soft state of the current leadership.
     ///
-    /// Whoever needs the replicated state too reads that first: with the two locked in either order, a task that holds
-    /// one, a task that holds the other and the driver waiting to write could wait for each other for ever.
+    /// A task that also needs the replicated state must lock that first. Otherwise, two tasks that each hold one of the
+    /// locks, and the driver that waits to write the replicated state, could deadlock.
     pub(crate) fn soft(&self) -> MutexGuard<'_, SoftState> {
         let since = self.group.status().borrow().leading_since.unwrap_or_else(boot_now);
         let mut soft = self.soft.lock();
@@ -91,14 +91,14 @@
     }
 }
 
-/// A control process that has started.
+/// Handle to a running control process.
 #[derive(Debug)]
 pub struct RunningControl {
-    /// Where entries and replicas connect.
+    /// Address on which entries and other replicas connect.
     pub peer_address: SocketAddr,
-    /// Where operators' commands are answered.
+    /// Address of the HTTP interface for operators.
     pub operator_address: SocketAddr,
-    /// Where health and metrics are read.
+    /// Address on which health and metrics are served.
     pub admin_address: SocketAddr,
     whole: JoinHandle<anyhow::Result<()>>,
 }
@@ -108,7 +108,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the process had to stop because its disk failed.
+    /// Fails if the process could not complete its start or had to stop, for example because its disk failed.
     pub async fn finished(self) -> anyhow::Result<()> {
         self.whole.await.context("control failed")?
     }
@@ -122,14 +122,14 @@
     pub(crate) admin: TcpListener,
 }
 
-/// Makes an empty data folder the first replica of a new group.
+/// Creates a new group with the empty data folder as its first replica.
 ///
-/// This is a command of its own and never happens at a start: a host whose disk was emptied would otherwise found a
-/// second group with empty tables, and everything accepted would seem to have reverted.
+/// This is a separate step that [`start`] never performs. Otherwise, a host whose disk was erased would create a second
+/// group with empty tables, and all accepted changes would appear to be reverted.
 ///
 /// # Errors
 ///
-/// Fails when the folder belongs to a group already or cannot be written.
+/// Fails if the folder already belongs to a group or cannot be written.
 pub fn form_group(settings: &ControlSettings, peer_address: SocketAddr) -> anyhow::Result<()> {
     let mut folder = DataFolder::open(&settings.data_folder)?;
     if folder.identity()?.is_some() {
@@ -152,11 +152,11 @@
     })
 }
 
-/// Tells whether a data folder belongs to a group.
+/// Returns true if a data folder belongs to a group.
 ///
 /// # Errors
 ///
-/// Fails when the folder cannot be used.
+/// Fails if the folder cannot be opened or its identity cannot be read.
 pub fn is_formed(data_folder: &Path) -> anyhow::Result<bool> {
     Ok(DataFolder::open(data_folder)?
         .identity()?
@@ -167,7 +167,7 @@
 ///
 /// # Errors
 ///
-/// Fails when an address is taken or the data folder cannot be used.
+/// Fails if an address is in use, the data folder cannot be used or the digest of the operator token is malformed.
 pub async fn start(
     settings: ControlSettings,
     stop: CancellationToken,
@@ -206,7 +206,9 @@
     })
 }
 
-/// Returns whom the folder belongs to; an empty one draws its number now and waits to be admitted.
+/// Returns the identity of the folder.
+///
+/// An empty folder gets a random disk number, under which it then requests to be bound to a member of a group.
 fn open_identity(folder: &DataFolder) -> anyhow::Result<FolderIdentity> {
     if let Some(identity) = folder.identity()? {
         return Ok(identity);
@@ -220,13 +222,14 @@
     Ok(identity)
 }
 
+/// Returns a random number other than 0.
 pub(crate) fn random_number() -> anyhow::Result<u64> {
     let mut bytes = [0; 8];
     getrandom::fill(&mut bytes).context("failed to read random bytes")?;
     Ok(u64::from_le_bytes(bytes).max(1))
 }
 
-/// A process whose listeners are open.
+/// A control process that has opened its listeners and has not started its tasks.
 #[derive(Debug)]
 struct ControlStart {
     settings: ControlSettings,
@@ -295,7 +298,7 @@
         outcome
     }
 
-    /// Waits until the group has admitted the folder; returns nothing when the process is to stop before that.
+    /// Waits until the group has assigned a replica to the folder. Returns `None` if the process is stopped first.
     async fn join(&mut self) -> anyhow::Result<Option<ReplicaId>> {
         let admitted = wait_for_identity(
             &self.settings,
@@ -308,7 +311,7 @@
         let Some((group, replica)) = admitted else {
             return Ok(None);
         };
-        // The log comes before the identity that vouches for it.
+        // The log is written before the identity, so that a folder with a replica number always has a log.
         self.folder
             .initialise(HardState::default(), &ReplicaSnapshot::default())?;
         self.identity = FolderIdentity {
