--- a/crates/acacia-runtime/src/lib.rs
+++ b/crates/acacia-runtime/src/lib.rs
@@ -1,4 +1,5 @@
-//! What every daemon needs at its edge and the library must not touch: clocks, logs, signals, metrics, spans.
+//! Access to the operating system shared by all daemons: clocks, logs, signals, metrics and trace spans. The
+//! `acaciabay` library must not use these itself.
 
 pub mod admin;
 pub mod clock;
