--- a/crates/acacia-runtime/src/admin.rs
+++ b/crates/acacia-runtime/src/admin.rs
@@ -1,4 +1,4 @@
-//! The listener for health checks and metrics.
+//! HTTP server for health checks, metrics and inspection pages.
 
 use acacia_http::{ResponseBody, ServerBounds, json_response, serve_http, text_response};
 use hyper::{Response, StatusCode};
@@ -8,9 +8,11 @@
 
 use crate::metrics_page::MetricsPage;
 
-/// Serves `/healthz`, `/readyz`, `/metrics` and what `inspect` knows until `stop` is cancelled.
+/// Serves `/healthz`, `/readyz`, `/metrics` and each path for which `inspect` returns a value, until `stop` is
+/// cancelled.
 ///
-/// `is_ready` is asked at each check, so that a balancer stops sending to a process that drains or has lost its lease.
+/// `is_ready` is called for each request to `/readyz`, so that a load balancer stops sending requests to a process that
+/// drains or has lost its lease.
 pub async fn serve_admin(
     listener: TcpListener,
     stop: CancellationToken,
