--- a/crates/acacia-runtime/src/clock.rs
+++ b/crates/acacia-runtime/src/clock.rs
@@ -1,11 +1,11 @@
-//! The two clocks of a host.
+//! Functions that read the boot clock and the wall clock of the host.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use acaciabay::core::clock::{BootTime, WallTime};
 use rustix::time::{ClockId, clock_gettime};
 
-/// Reads the boot clock, which goes on counting while the host is suspended.
+/// Reads the boot clock, which also advances while the host is suspended.
 pub fn boot_now() -> BootTime {
     let time = clock_gettime(ClockId::Boottime);
     let secs = u64::try_from(time.tv_sec).unwrap_or(0);
@@ -18,7 +18,7 @@
     WallTime::from_secs(since_epoch().as_secs())
 }
 
-/// Reads the wall clock in nanoseconds since the Unix epoch, as spans need it.
+/// Reads the wall clock in nanoseconds since the Unix epoch, the unit of OTLP span timestamps.
 pub fn wall_nanos() -> u64 {
     u64::try_from(since_epoch().as_nanos()).unwrap_or(u64::MAX)
 }
