--- a/crates/acacia-runtime/src/event.rs
+++ b/crates/acacia-runtime/src/event.rs
@@ -1,26 +1,27 @@
-//! The numbers of logged events.
+//! Event numbers of log lines.
 //!
-//! `docs/EVENTS.md` says for each what it means and what an operator does; a test holds both lists equal.
+//! `docs/EVENTS.md` describes each event and the action that an operator takes. A test checks that both lists contain
+//! the same numbers.
 
 macro_rules! events {
     ($($(#[$doc:meta])* $name:ident = $code:literal;)+) => {
         $($(#[$doc])* pub const $name: &str = $code;)+
 
-        /// All numbers with the names of their constants.
+        /// All event numbers, each with the name of its constant.
         pub const ALL: &[(&str, &str)] = &[$(($code, stringify!($name))),+];
     };
 }
 
 events! {
-    /// A process listens and starts to work.
+    /// A process has started and is listening.
     STARTED = "E0101";
-    /// A process was asked to stop and finishes what it has begun.
+    /// A process was asked to stop and finishes the work in progress.
     STOPPING = "E0102";
     /// A process has finished all its work.
     STOPPED = "E0103";
-    /// A process stops at once because it cannot go on.
+    /// A process stops immediately because of an error that it cannot recover from.
     FATAL = "E0104";
-    /// A connection failed in a way that concerns only that connection.
+    /// A connection failed, with no effect on other connections.
     CONNECTION_FAILED = "E0110";
     /// A message from another process was malformed and was dropped.
     MESSAGE_REFUSED = "E0111";
@@ -29,21 +30,21 @@
     ENTRY_JOINED = "E0201";
     /// An entry lost its connection to the control group.
     CONTROL_LOST = "E0202";
-    /// An entry's serving lease has run out: it refuses requests.
+    /// An entry's serving lease has expired, so it refuses requests.
     LEASE_LOST = "E0203";
     /// An entry holds a serving lease again.
     LEASE_HELD = "E0204";
-    /// An entry took over a newer configuration.
+    /// An entry applied a newer configuration.
     CONFIG_APPLIED = "E0205";
     /// An attempt at an endpoint failed.
     ATTEMPT_FAILED = "E0211";
-    /// A stream went on at another connection or endpoint.
+    /// A stream was resumed on another connection or endpoint.
     STREAM_RESUMED = "E0212";
-    /// An answer did not belong to the request it came for.
+    /// An answer belonged to a different request than the one it was received for.
     ANSWER_CROSSED = "E0213";
     /// A usage report could not be delivered in time and is sent again.
     USAGE_DELAYED = "E0214";
-    /// A stop began while work was still running and the time for finishing it has passed.
+    /// The time limit for finishing work during a stop has passed while work was still running.
     STOP_OVERDUE = "E0215";
     /// Spans could not be written.
     SPANS_LOST = "E0216";
@@ -53,25 +54,25 @@
     CALL_REFUSED = "E0221";
     /// An entry's readiness changed.
     READINESS_CHANGED = "E0222";
-    /// An entry took over a configuration for calls by host and path.
+    /// An entry applied a configuration for calls that are routed by host and path.
     SERVING_CONFIG_APPLIED = "E0223";
     /// A session with a replica was opened.
     CONTROL_FOUND = "E0224";
     /// A prompt was read, or could not be.
     PROMPT_READ = "E0225";
-    /// The settings were read again.
+    /// A reload of the settings has succeeded or failed.
     SETTINGS_RELOADED = "E0226";
-    /// An entry was told that a newer configuration is committed.
+    /// An entry was notified that a newer configuration is committed.
     CONFIG_TOLD = "E0227";
-    /// An entry has asked the leader while it knows of a newer configuration.
+    /// An entry sent a renewal request to the leader while it knew of a newer configuration than it holds.
     CONFIG_ASKED = "E0228";
     /// An answer came after the entry had asked again.
     RENEWAL_LATE = "E0229";
-    /// The caller left before an endpoint had answered.
+    /// The caller disconnected before an endpoint had answered.
     CALL_ABANDONED = "E0230";
-    /// An endpoint is silent for longer than is usual.
+    /// An endpoint has not answered for longer than usual.
     ENDPOINT_DOUBTED = "E0231";
-    /// A call has waited for the first lease of its entry.
+    /// A call was held until its entry's first lease, or until its time limit.
     CALL_HELD = "E0232";
 
     /// A replica became leader.
@@ -82,13 +83,13 @@
     CHANGE_ACCEPTED = "E0303";
     /// An operator's request was refused.
     OPERATOR_REFUSED = "E0304";
-    /// The log ended in a torn record, which was cut off.
+    /// The replicated log ended in a torn record, which was truncated.
     TAIL_CUT = "E0305";
     /// A snapshot was written and the log before it was dropped.
     SNAPSHOT_WRITTEN = "E0306";
-    /// A host waits for the group to admit its data folder.
+    /// A host waits until the control group admits its data folder.
     IDENTITY_AWAITED = "E0307";
-    /// A host was given its place in the group.
+    /// A host was granted its replica identity in the control group.
     IDENTITY_GRANTED = "E0308";
     /// The set of replicas changed.
     MEMBERS_CHANGED = "E0309";
@@ -100,41 +101,41 @@
     WINDOW_BILLED = "E0312";
     /// A usage window could not be delivered and is sent again.
     WINDOW_DELAYED = "E0313";
-    /// A replica was removed from the group and gives its folder up.
+    /// A replica was removed from the control group and discards its identity.
     IDENTITY_REVOKED = "E0314";
-    /// The disk takes no more bytes, or takes them again.
+    /// The disk is full, or has free space again.
     DISK_FULL = "E0315";
     /// An endpoint has reported something new.
     ENDPOINT_CHANGED = "E0320";
-    /// A report of an endpoint could not be used.
+    /// An endpoint's report was malformed.
     REPORT_REFUSED = "E0321";
-    /// The configuration in force cannot be read by this release.
+    /// The configuration in force cannot be parsed by this release.
     CONFIG_UNREADABLE = "E0322";
     /// An entry or a replica has opened a session.
     SESSION_BEGUN = "E0323";
     /// A session has ended.
     SESSION_ENDED = "E0324";
-    /// A configuration for calls by host and path was accepted.
+    /// A configuration for calls that are routed by host and path was accepted.
     SERVING_CONFIG_ACCEPTED = "E0325";
-    /// A configuration that is held already, or was overtaken, was acknowledged again.
+    /// A configuration that is not newer than the held one was acknowledged without effect.
     SERVING_CONFIG_OLD = "E0326";
     /// A configuration was refused.
     SERVING_CONFIG_REFUSED = "E0327";
-    /// This process has taken all duties under a new number.
+    /// This process has assumed all duties under a new fencing number.
     DUTIES_ASSUMED = "E0328";
-    /// This process has lost its duties.
+    /// This process no longer leads and has given up its duties.
     DUTIES_LEFT = "E0329";
-    /// The counts of a usage window were fixed.
+    /// The counts of a usage window were sealed and no longer change.
     STARTS_SEALED = "E0330";
-    /// An engine is to change its stage.
+    /// A change of an engine's stage was planned.
     STAGE_PLANNED = "E0331";
-    /// Endpoints were ordered of the platform.
+    /// An order for the number of endpoints in a pool was sent to the platform.
     POOL_ORDERED = "E0332";
-    /// What a service needs and has was compared.
+    /// The required endpoints of a service were compared with the existing ones.
     POOL_PLANNED = "E0333";
-    /// An entry was answered with a configuration that it does not hold.
+    /// An entry was sent a configuration that it does not hold.
     CONFIG_SENT = "E0334";
-    /// The connection to an entry has taken all of a configuration.
+    /// A configuration was written completely to the connection to an entry.
     CONFIG_WRITTEN = "E0335";
 
     /// A stand-in has carried out an order.
