--- a/crates/acacia-runtime/src/log.rs
+++ b/crates/acacia-runtime/src/log.rs
@@ -1,19 +1,19 @@
-//! Structured logs on standard output, one JSON object a line.
+//! Structured logs on standard output, one JSON object per line.
 
 use slog::{Drain, Logger, o};
 
-/// How many records may wait to be written; beyond that they are dropped and counted, so that a blocked terminal or
-/// pipe never blocks a request.
+/// Capacity of the queue of log records. While it is full, new records are dropped and counted, so that a blocked
+/// terminal or pipe never blocks a request.
 const WAITING_RECORDS: usize = 8_192;
 
-/// Opens the log of a process.
+/// Creates the logger of a process. Each line carries the names of the program and the host.
 pub fn open_log(program: &'static str, host: &str) -> Logger {
     let lines = slog_json::Json::default(std::io::stdout()).fuse();
     let queue = slog_async::Async::new(lines).chan_size(WAITING_RECORDS).build().fuse();
     Logger::root(queue, o!("program" => program, "host" => host.to_owned()))
 }
 
-/// Returns a log that drops everything, for tests and for measurements.
+/// Returns a logger that discards every record, for tests and benchmarks.
 pub fn silent_log() -> Logger {
     Logger::root(slog::Discard, o!())
 }
