--- a/crates/acacia-runtime/src/metrics_page.rs
+++ b/crates/acacia-runtime/src/metrics_page.rs
@@ -1,20 +1,20 @@
-//! The page from which Prometheus reads a process's metrics.
+//! Metrics of the process in the format that Prometheus scrapes.
 
 use anyhow::Context;
 use metrics_exporter_prometheus::{PrometheusBuilder, PrometheusHandle};
 
-/// Collects all metrics of the process and renders them.
+/// Recorder of all metrics of the process, which renders them on request.
 #[derive(Clone, Debug)]
 pub struct MetricsPage {
     handle: PrometheusHandle,
 }
 
 impl MetricsPage {
-    /// Starts to collect metrics; to be called once in a process.
+    /// Installs the global metrics recorder. Call this once per process.
     ///
     /// # Errors
     ///
-    /// Fails when the process already collects metrics.
+    /// Fails if the process already has a metrics recorder.
     pub fn install() -> anyhow::Result<Self> {
         let handle = PrometheusBuilder::new()
             .install_recorder()
@@ -22,7 +22,7 @@
         Ok(Self { handle })
     }
 
-    /// Renders all metrics in Prometheus' text format.
+    /// Renders all metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         self.handle.run_upkeep();
         self.handle.render()
