--- a/crates/acacia-runtime/src/program.rs
+++ b/crates/acacia-runtime/src/program.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping a program.
+//! Startup and shutdown of a program: settings, signals, the Tokio runtime and exit codes.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -14,14 +14,14 @@
 
 use crate::event;
 
-/// The exit code for settings or arguments that cannot be used.
+/// Exit code for invalid settings or arguments.
 pub const BAD_INPUT: u8 = 2;
 
-/// Returns a token that is cancelled when the process is asked to stop by SIGTERM or SIGINT.
+/// Returns a token that is cancelled when the process receives SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// Fails when the signals cannot be watched.
+/// Fails if the signal handlers cannot be installed.
 pub fn stop_token() -> std::io::Result<CancellationToken> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -37,12 +37,13 @@
     Ok(token)
 }
 
-/// Runs a program's future on a runtime of its own and turns an error into a message and an exit code.
+/// Runs a program's future on a new multi-threaded Tokio runtime. An error is printed to standard error and converted
+/// into an exit code.
 pub fn run_program<F: Future<Output = anyhow::Result<()>>>(program: impl FnOnce() -> F) -> ExitCode {
     run_on(&mut Builder::new_multi_thread(), program)
 }
 
-/// The same on one thread, for hosts that have a part of one core.
+/// Runs a program like [`run_program`], but on a single-threaded runtime, for hosts that have only a share of one core.
 pub fn run_on_one_thread<F: Future<Output = anyhow::Result<()>>>(program: impl FnOnce() -> F) -> ExitCode {
     run_on(&mut Builder::new_current_thread(), program)
 }
@@ -58,11 +59,14 @@
     }
 }
 
-/// Reads a settings file again at each SIGHUP and follows the seeds in it, which may change while the process runs.
+/// Reloads a settings file on each SIGHUP and publishes its seed addresses, which may change while the process runs.
+///
+/// The channel holds `first` until the first reload. A file that is unreadable or invalid leaves the
+/// seeds unchanged.
 ///
 /// # Errors
 ///
-/// Fails when the signal cannot be watched.
+/// Fails if the signal handler cannot be installed.
 pub fn follow_seeds<T: 'static>(
     path: PathBuf,
     first: Vec<SocketAddr>,
@@ -77,11 +81,11 @@
             match read_document(&path, &check) {
                 Ok(settings) => {
                     let seeds = seeds_of(settings);
-                    slog::info!(log, "settings read again"; "event" => event::SETTINGS_RELOADED, "seeds" => ?seeds);
+                    slog::info!(log, "settings reloaded"; "event" => event::SETTINGS_RELOADED, "seeds" => ?seeds);
                     sender.send_replace(seeds);
                 }
                 Err(error) => {
-                    slog::warn!(log, "settings cannot be read; the ones before stay in force";
+                    slog::warn!(log, "failed to reload settings; the previous ones remain in force";
                         "event" => event::SETTINGS_RELOADED, "error" => format!("{error:#}"));
                 }
             }
@@ -90,7 +94,7 @@
     Ok(receiver)
 }
 
-/// Prints an error with its causes.
+/// Prints an error and its causes to standard error, and returns the exit code for a failure.
 pub fn report(error: &anyhow::Error) -> ExitCode {
     eprintln!("error: {error}");
     for cause in error.chain().skip(1) {
@@ -99,12 +103,12 @@
     ExitCode::FAILURE
 }
 
-/// Reads and checks a settings file; with `only_check`, ends the program after that.
+/// Reads and validates a settings file.
 ///
 /// # Errors
 ///
-/// Returns the exit code with which the program has to end: [`BAD_INPUT`] after printing every finding, or success
-/// after a check without findings.
+/// Returns the exit code with which the caller must end the program: [`BAD_INPUT`] after the findings have been
+/// printed, or success if the settings are valid and `only_check` is set.
 pub fn read_settings<T>(
     path: &Path,
     only_check: bool,
