--- a/crates/acacia-runtime/src/trace.rs
+++ b/crates/acacia-runtime/src/trace.rs
@@ -1,7 +1,8 @@
-//! Spans of requests, one for each hop, in W3C trace context and exported as OTLP in JSON.
+//! Request spans, propagated as W3C trace context and exported to a file as OTLP JSON.
 //!
-//! Each line of the file is one `ExportTraceServiceRequest`, the form that OpenTelemetry's file exporter writes and its
-//! collector reads. A full queue drops spans and counts them: a slow disk must not slow requests down.
+//! Each line of the file is one `ExportTraceServiceRequest`, the format that OpenTelemetry's file exporter writes and
+//! its collector reads. While the queue is full, spans are dropped and counted, so that a slow disk does not delay
+//! requests.
 
 use std::fmt;
 use std::io::Write;
@@ -16,18 +17,18 @@
 use crate::clock::wall_nanos;
 use crate::event;
 
-/// The header that carries the context.
+/// Name of the HTTP header that carries the trace context.
 pub const TRACEPARENT: &str = "traceparent";
 
-/// How many finished spans may wait to be written.
+/// Capacity of the queue of finished spans that wait to be written.
 const WAITING_SPANS: usize = 8_192;
 
 /// The position of a request in its trace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TraceContext {
-    /// Identifies the whole request, over all processes.
+    /// Identifier of the whole request, the same in all processes.
     pub trace: u128,
-    /// Identifies the span that the next one is a child of; 0 for the root.
+    /// Identifier of the span that becomes the parent of the next one, or 0 at the root of the trace.
     pub span: u64,
 }
 
@@ -44,7 +45,7 @@
         Some(Self { trace, span })
     }
 
-    /// Starts a trace of our own, for a request that came without one.
+    /// Creates the root of a new trace, for a request without a trace context.
     pub fn new_root(random: &mut impl Rng) -> Self {
         Self {
             trace: random.random_range(1..u128::MAX),
@@ -59,7 +60,7 @@
     }
 }
 
-/// Writes finished spans, or drops them when no file is set.
+/// Writer of finished spans to the trace file. Without a file, it discards them.
 #[derive(Clone, Debug, Default)]
 pub struct SpanRecorder {
     finished: Option<SyncSender<SpanRecord>>,
@@ -76,11 +77,11 @@
 }
 
 impl SpanRecorder {
-    /// Opens the file, if there is one, and starts to write to it.
+    /// Opens the trace file, if a path is set, and starts the thread that writes to it.
     ///
     /// # Errors
     ///
-    /// Fails when the file cannot be opened.
+    /// Fails if the file cannot be opened.
     pub fn open(path: Option<&Path>, program: &'static str, host: &str, log: &Logger) -> anyhow::Result<Self> {
         let Some(path) = path else { return Ok(Self::default()) };
         let file = std::fs::OpenOptions::new().create(true).append(true).open(path);
@@ -91,7 +92,7 @@
         Ok(Self { finished: Some(sender) })
     }
 
-    /// Starts a span below `parent`; it ends when it is dropped.
+    /// Starts a child span of `parent`, which ends when it is dropped.
     pub fn start(&self, name: &'static str, parent: TraceContext) -> ActiveSpan {
         let span = rand::rng().random_range(1..u64::MAX);
         ActiveSpan {
@@ -108,7 +109,7 @@
     }
 }
 
-/// A span that has begun.
+/// A span that has started and not yet ended. It is recorded when dropped.
 #[derive(Debug)]
 pub struct ActiveSpan {
     recorder: SpanRecorder,
@@ -120,12 +121,12 @@
 }
 
 impl ActiveSpan {
-    /// Returns the context for what happens within this span.
+    /// Returns the context to pass to child spans.
     pub const fn context(&self) -> TraceContext {
         self.context
     }
 
-    /// Notes something about the span.
+    /// Adds an attribute to the span.
     pub fn note(&mut self, key: &'static str, value: &impl ToString) {
         if self.recorder.finished.is_some() {
             self.attributes.push((key, value.to_string()));
@@ -159,9 +160,9 @@
         batch.extend(spans.try_iter().map(|span| span_to_json(&span)));
         let scope = json!({"scope": {"name": "acaciabay"}, "spans": batch});
         let request = json!({"resourceSpans": [{"resource": resource, "scopeSpans": [scope]}]});
-        // One write a line, so that a reader never sees half of one for long.
+        // Each line is written in one call, so that a reader sees an incomplete line only briefly.
         if let Err(error) = file.write_all(format!("{request}\n").as_bytes()) {
-            slog::warn!(log, "spans lost"; "event" => event::SPANS_LOST, "error" => %error);
+            slog::warn!(log, "failed to write spans"; "event" => event::SPANS_LOST, "error" => %error);
         }
     }
 }
