--- a/crates/acacia-entry/src/serving/endpoint_choice.rs
+++ b/crates/acacia-entry/src/serving/endpoint_choice.rs
@@ -119,7 +119,9 @@
     stage: EngineStage,
 ) -> Vec<EndpointRow<'state>> {
     let mut rows = entry.registry.ready(now, service);
-    rows.retain(|(name, endpoint)| endpoint.stage == Some(stage) && !entry.loads.is_switching_stage(now, name, endpoint));
+    rows.retain(|(name, endpoint)| {
+        endpoint.stage == Some(stage) && !entry.loads.is_switching_stage(now, name, endpoint)
+    });
     rows
 }
 
--- a/crates/acacia-entry/src/serving/prefill.rs
+++ b/crates/acacia-entry/src/serving/prefill.rs
@@ -168,7 +168,10 @@
     };
     // Recorded before the answer arrives, so that calls with the same parts go to this engine meanwhile.
     let memory = call.shared.engine_memory(&call.service);
-    call.shared.state().loads.record_prefill(&chosen.name, &prompt.parts, memory);
+    call.shared
+        .state()
+        .loads
+        .record_prefill(&chosen.name, &prompt.parts, memory);
     let outcome = send(
         call,
         chosen,
--- a/crates/acacia-entry/src/serving/renewal_message.rs
+++ b/crates/acacia-entry/src/serving/renewal_message.rs
@@ -23,7 +23,7 @@
         .own_work()
         .map(|(name, work)| use_to_wire(name, work))
         .collect();
-    let kept = state.kept_news.take();
+    let kept = state.kept_news.take_pending();
     let demands = std::mem::take(&mut state.demands);
     let paces: BTreeMap<_, _> = demands
         .keys()
--- a/crates/acacia-entry/src/serving/stream_call.rs
+++ b/crates/acacia-entry/src/serving/stream_call.rs
@@ -202,7 +202,9 @@
             return Ok(None);
         };
         let pace = self.call.shared.state().prefill_pace(&self.call.service);
-        if is_prefilled_by_decoder(prompt, pace) || !self.call.shared.has_prefill_engines(boot_now(), &self.call.service) {
+        if is_prefilled_by_decoder(prompt, pace)
+            || !self.call.shared.has_prefill_engines(boot_now(), &self.call.service)
+        {
             return Ok(None);
         }
         let is_retry = self.prefills > 0;
