--- a/crates/acaciabay/src/ops/plan_pool.rs
+++ b/crates/acaciabay/src/ops/plan_pool.rs
@@ -1,9 +1,9 @@
 //! Capacity planning for a service: the number and kind of endpoints to order in each failure domain.
 //!
-//! An on-demand endpoint (`lasting` in the code) stays until it is released. A reclaimable one costs a fraction of
-//! that, but the platform may reclaim all of them in a failure domain within seconds and then have no replacements for
-//! a while. So every domain keeps a minimum of on-demand endpoints, and enough reclaimable ones that losing those of
-//! two domains leaves what the load needs.
+//! An on-demand endpoint (`lasting` in the code) stays until it is released. A reclaimable endpoint costs a fraction of
+//! the price of an on-demand one, but the platform may reclaim all of them in a failure domain within seconds and then
+//! have no replacements for a while. So every domain keeps a minimum of on-demand endpoints, and enough reclaimable
+//! ones that losing those of two domains leaves what the load needs.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -27,17 +27,21 @@
     }
 }
 
-/// Fraction of the needed endpoints that are on-demand where reclaimable ones are worthwhile. It is enough for a slow
-/// service while the platform has reclaimed those of two domains and has no replacements.
+/// Fraction of the needed endpoints that are on-demand if reclaimable ones are worthwhile. It is enough to keep the
+/// service running, although slowly, after the platform has reclaimed the reclaimable endpoints of two domains and
+/// until it has replacements.
 const ON_DEMAND_FRACTION: f64 = 0.14;
-/// Highest price, relative to an on-demand endpoint, at which reclaimable endpoints are worth their reserve. With three
-/// domains, up to three times as many are paid for as the load needs.
+/// Highest price, relative to an on-demand endpoint, at which reclaimable endpoints are ordered. With three domains,
+/// any single one must have enough of them for the case that the other two lose theirs. So up to three times as many
+/// are paid for as the load needs, and at a price above a third they would cost more than on-demand ones.
 const MAX_RECLAIMABLE_PRICE: f64 = 0.3;
 /// Number of domains that may lose all their reclaimable endpoints before replacements are available. The platform
 /// reclaims them in one domain after another within seconds, and has no replacements for ten seconds or more.
 pub(super) const TOLERATED_DOMAIN_LOSSES: u32 = 2;
 
 /// Returns the wanted endpoints of each failure domain for a load that needs `needed` endpoints in all.
+///
+/// The limits `min` and `max` of the specification apply to each failure domain, not to the total.
 pub fn plan_pool(spec: &PoolSpec, domains: &[DomainName], needed: u32) -> BTreeMap<DomainName, DomainPool> {
     let count = u32::try_from(domains.len()).unwrap_or(u32::MAX).max(1);
     let is_worthwhile = spec
@@ -87,7 +91,8 @@
 pub struct PoolView {
     /// Endpoints that take calls, by failure domain.
     pub present: BTreeMap<DomainName, DomainPool>,
-    /// Reclaimable endpoints that the platform has agreed to provide, by failure domain.
+    /// Reclaimable endpoints that the platform has agreed to provide, by failure domain. The number is a total and
+    /// includes those already present.
     pub agreed: BTreeMap<DomainName, u32>,
     /// Failure domains in which the platform has recently refused reclaimable endpoints.
     pub refused: BTreeSet<DomainName>,
@@ -95,7 +100,7 @@
     pub needed: u32,
     /// Endpoints that the load of the last few seconds needs, without any reserve.
     pub needed_now: u32,
-    /// Endpoints that are present and not carrying out an order.
+    /// Endpoints that are present, without the engines that are carrying out an order to change their stage.
     pub serving: u32,
     /// True until the first call.
     pub is_idle: bool,
@@ -127,9 +132,10 @@
 
 /// Returns the orders that lead from the present endpoints to the wanted ones.
 ///
-/// The platform chooses the endpoints that it removes, and may choose the decode engines. So on-demand endpoints are
-/// released in one failure domain at a time, and only if the endpoints that remain can carry the load. Before the first
-/// call they are released in all domains at once, since no caller is affected.
+/// The platform chooses which endpoints it removes. If the endpoints are engines with a prefill or a decode stage, it
+/// may choose those that decode, and others have to change their stage first. So on-demand endpoints are released in
+/// one failure domain at a time, and only if the endpoints that remain can carry the load. Before the first call they
+/// are released in all domains at once, since no caller is affected.
 pub fn plan_pool_changes(
     spec: &PoolSpec,
     wanted: &BTreeMap<DomainName, DomainPool>,
@@ -148,7 +154,8 @@
             shortfall.share
         };
         let reclaimable = want.reclaimable.saturating_add(share).min(room);
-        // A domain keeps its reclaimable endpoints while another domain lacks some, or while the load needs them.
+        // A domain keeps its reclaimable endpoints while the load needs them, and while the platform refuses those that
+        // another domain lacks.
         let removed = have.reclaimable.saturating_sub(reclaimable);
         let may_remove = view.may_shrink && shortfall.count == 0 && removed <= expendable;
         if reclaimable > have.reclaimable {
@@ -177,8 +184,9 @@
 
 /// Returns how many endpoints may be removed without affecting callers.
 ///
-/// During a shortage the result is 0, whatever the plan says: replacing one kind by the other takes seconds, and
-/// callers would wait meanwhile. Before the first call there is no limit, since nobody waits.
+/// During a shortage the result is 0, even if the plan wants fewer endpoints of one kind and more of the other: the new
+/// ones take seconds to start, and callers would have to wait until then. Before the first call there is no limit,
+/// since no caller waits.
 const fn expendable_endpoints(view: &PoolView) -> u32 {
     if view.is_idle {
         u32::MAX
@@ -192,7 +200,8 @@
 struct ReclaimableShortfall {
     /// The total over these domains.
     count: u32,
-    /// The number of additional endpoints that each of the other domains should have in their place.
+    /// The number of additional endpoints that each of the other domains should have in their place: the total divided
+    /// by the number of these other domains, rounded down.
     share: u32,
 }
 
--- a/crates/acaciabay/src/ops/replace_refused.rs
+++ b/crates/acaciabay/src/ops/replace_refused.rs
@@ -2,8 +2,8 @@
 //!
 //! The platform reclaims all reclaimable endpoints of a failure domain at once, often in several domains in a row, and
 //! may refuse new ones for ten seconds or more. On-demand endpoints (`lasting` in the code) start within seconds. They
-//! are ordered evenly over the domains that have room, so that room is left for reclaimable ones once they are
-//! available again. The regular plan then releases them.
+//! are ordered evenly over the failure domains that are below their maximum, so that no domain is filled with them and
+//! the reclaimable ones fit again once they are available. The regular plan then releases the on-demand ones.
 
 use std::collections::BTreeMap;
 
@@ -11,8 +11,11 @@
 use crate::core::serving::config::PoolSpec;
 use crate::ops::plan_pool::{DomainPool, PoolView, TOLERATED_DOMAIN_LOSSES};
 
-/// Returns the wanted endpoints of each failure domain, with on-demand ones in place of those that the platform
-/// refuses.
+/// Returns the wanted endpoints of each failure domain, with additional on-demand ones in place of those that the
+/// platform refuses.
+///
+/// They are added until there are as many endpoints as the present load needs, or until all domains are at their
+/// maximum.
 pub fn replace_refused(
     spec: &PoolSpec,
     wanted: &BTreeMap<DomainName, DomainPool>,
@@ -42,10 +45,13 @@
     filled
 }
 
-/// Returns how many of the remaining endpoints are at risk and must not be counted on.
+/// Returns how many of the expected endpoints must not be counted on, because the loss of one more failure domain could
+/// remove them.
 ///
-/// Once the platform refuses as many domains as the plan holds a reserve for, that reserve is used up. If one more
-/// domain were lost, only the replacements ordered now would be there, since on-demand endpoints take seconds to start.
+/// While the platform refuses reclaimable endpoints in fewer than [`TOLERATED_DOMAIN_LOSSES`] domains, the reserve in
+/// the plan covers the next loss, and the result is 0. Otherwise the reserve is used up. The result is then the largest
+/// number of reclaimable endpoints in any domain without a refusal. Their replacements have to be ordered before the
+/// loss, since on-demand endpoints take seconds to start.
 fn endpoints_at_risk(expected: &BTreeMap<&DomainName, DomainPool>, view: &PoolView) -> u32 {
     let refused = u32::try_from(view.refused.len()).unwrap_or(u32::MAX);
     if refused < TOLERATED_DOMAIN_LOSSES {
@@ -55,7 +61,8 @@
     not_refused.map(|(_, pool)| pool.reclaimable).max().unwrap_or(0)
 }
 
-/// Returns the endpoints that a failure domain will have once the orders of the plan are carried out.
+/// Returns the endpoints to expect in a failure domain: the present ones and those that the plan adds, but no
+/// additional reclaimable ones where the platform refuses them. Endpoints that the plan removes are still counted.
 fn expected_pool(domain: &DomainName, want: DomainPool, view: &PoolView) -> DomainPool {
     let have = view.present.get(domain).copied().unwrap_or_default();
     let reclaimable = if view.refused.contains(domain) {
--- a/crates/acaciabay/tests/serving/pools.rs
+++ b/crates/acaciabay/tests/serving/pools.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// Guards against ordering reclaimable endpoints that no low price makes worthwhile.
+/// Guards against ordering reclaimable endpoints when no price for them is configured.
 #[test]
 fn endpoints_are_on_demand_where_others_are_not_cheaper() {
     let wanted = plan_pool(&pool(6, None), &domains(&["a", "b", "c"]), 10);
