--- a/crates/acaciabay/src/ops/plan_stages.rs
+++ b/crates/acaciabay/src/ops/plan_stages.rs
@@ -1,8 +1,12 @@
 //! Assignment of a service's engines to the prefill and decode stages.
 //!
 //! Decoding needs a slot and memory for each running stream, so its load follows from the streams that run. The prefill
-//! load changes by factors when the mix of requests shifts. As many engines decode as the running streams need, but
-//! never fewer than keep the service going when a failure domain is lost. All others prefill.
+//! load can change severalfold when the mix of requests shifts. So the number of decode engines is computed from the
+//! running streams, and all other engines prefill, with these exceptions:
+//!
+//! * Each stage keeps a minimum of engines, and decode also keeps enough for the loss of a failure domain.
+//! * If there are fewer engines than both stages need, they are divided in proportion to the needs.
+//! * Decode engines that the streams no longer need keep decoding until prefill needs them.
 
 use std::collections::BTreeMap;
 
@@ -12,8 +16,8 @@
 use crate::core::serving::stream_peak::StreamDemand;
 use crate::util::number::round_up;
 
-/// Fraction of an engine's slots and memory that streams may use. Above it each token takes noticeably longer, and no
-/// room is left for a burst.
+/// Fraction of a decode engine's slots and memory that the plan assumes as usable, so that the other half is free for a
+/// burst. Streams may use more, but each token then takes noticeably longer.
 const TARGET_UTILIZATION: f64 = 0.5;
 
 /// Factor by which the prefill load may exceed its recent value. The number of streams grows over seconds, but prompts
@@ -23,12 +27,13 @@
 /// Minimum number of engines in each stage, so that the loss of one engine stops neither stage.
 const MIN_ENGINES_PER_STAGE: usize = 2;
 
-/// Minimum number of engines per decode engine for every failure domain to get a decode engine of its own. A prompt is
-/// then decoded in the domain in which it was prefilled.
+/// Number of engines that a service must have for each failure domain so that every domain gets a decode engine. A
+/// prompt can then be decoded in the domain in which it was prefilled. With fewer engines, only one in this many has to
+/// decode.
 const ENGINES_PER_DECODER: usize = 4;
 
-/// Number of engines per decode engine while few streams run. With fewer decode engines, a sudden start of traffic
-/// would find too few, and each change of stage takes seconds.
+/// Number of engines per decode engine while few streams run. Fewer decode engines could not carry a sudden start of
+/// traffic, and each change of stage takes seconds.
 const ENGINES_PER_IDLE_DECODER: usize = 16;
 
 /// A change of an engine's stage.
@@ -40,7 +45,7 @@
     pub stage: EngineStage,
 }
 
-/// The load and the engines of a service, from which the number of decode engines follows.
+/// Load and engine counts of a service, from which the number of decode engines is computed.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct StageLoad {
     /// Engines that take calls.
@@ -59,9 +64,9 @@
 
 /// Returns how many engines should decode.
 ///
-/// If there are fewer engines than both stages need, they are divided in proportion to the needs. Otherwise a burst of
-/// streams would take engines from prefill until hardly any prompt is prefilled in time and the decode engines run
-/// idle.
+/// If there are fewer engines than both stages need, they are divided in proportion to the needs. If decode got all
+/// that it needs instead, a burst of streams would take engines from prefill until hardly any prompt is prefilled in
+/// time. New streams would then no longer start, and the decode engines would run idle.
 pub fn wanted_decoders(load: &StageLoad, spec: &EngineSpec) -> usize {
     let StageLoad { domains, demand, .. } = load;
     let engines = load.present.max(load.expected);
@@ -91,7 +96,8 @@
 ///
 /// An engine that changes its stage takes no calls until its longest stream has ended and the change is made. In the
 /// next burst it is missing from decode, so that all streams slow down and the longest miss their deadlines. So engines
-/// change only if prefill needs them, where the need allows for the loss of a failure domain.
+/// leave decode only if prefill needs them. The prefill need is computed such that it is still met after the loss of
+/// one failure domain.
 fn retained_decoders(load: &StageLoad) -> usize {
     let domains = load.domains.max(2) as f64;
     let prefill_engines = PREFILL_HEADROOM * load.prefill_engines * domains / (domains - 1.0);
@@ -101,17 +107,19 @@
         .min(load.present.saturating_sub(prefill_engines.max(prefill_minimum)))
 }
 
-/// An engine of the service.
+/// Name and registry row of an engine.
 type Engine<'table> = (&'table EndpointName, &'table ServingEndpoint);
 
-/// Returns the changes of stage after which `wanted` engines decode.
+/// Returns the next changes of stage towards `wanted` decode engines. One call may not return all of them: while
+/// engines change to decode, none changes to prefill.
 ///
 /// Decode engines stay spread over the failure domains: the next one is taken from the domain with the fewest, and the
 /// next prefill engine from the domain with the most.
 ///
 /// On-demand engines are preferred for decode. The prefill work of a reclaimed engine can be repeated elsewhere, but
-/// its streams break off. If a reclaimable engine decodes while an on-demand one prefills, the on-demand one changes
-/// first. The reclaimable one is then surplus and changes in a later plan.
+/// the streams of a reclaimed decode engine break off. If a reclaimable engine decodes while an on-demand one prefills,
+/// the on-demand one changes to decode first. The reclaimable one is then surplus and changes to prefill in a later
+/// plan.
 pub fn plan_stages(engines: &[Engine<'_>], wanted: usize) -> Vec<StageChange> {
     let mut decoders = engines_in_stage(engines, EngineStage::Decode);
     let mut prefill_engines = engines_in_stage(engines, EngineStage::Prefill);
@@ -143,7 +151,7 @@
         });
     }
     if changes.iter().any(|change| change.stage == EngineStage::Decode) {
-        // Engines keep decoding until their replacements can.
+        // An engine keeps decoding until the one that replaces it has changed to decode. It changes in a later plan.
         changes.retain(|change| change.stage == EngineStage::Decode);
     }
     changes
