--- a/crates/acaciabay/src/core/consensus/replication.rs
+++ b/crates/acaciabay/src/core/consensus/replication.rs
@@ -27,8 +27,8 @@
         let round = request.round;
         let last_new = LogIndex(request.previous_index.0 + request.entries.len() as u64);
         if last_new <= self.commit {
-            // A delayed or duplicated message. The leader has every committed entry, so both logs match up to the
-            // commit index.
+            // The message contains nothing beyond the commit index: a heartbeat without entries, or a delayed or
+            // duplicated message. The leader has every committed entry, so both logs match up to the commit index.
             self.send(
                 from,
                 MessageBody::AppendReply {
@@ -63,8 +63,8 @@
         );
     }
 
-    /// Returns the highest index up to which the log may match the leader's if it differs at the previous index, and
-    /// `None` if it matches there.
+    /// Compares the log with the leader's at the entry before those in the request. Returns `None` if the logs match
+    /// there. Otherwise returns the highest index at which they may still match, for the leader to try next.
     fn find_mismatch(&self, request: &AppendRequest) -> Option<LogIndex> {
         if request.previous_index < self.log.base_index() {
             // The snapshot includes this entry. Everything in a snapshot is committed, so it matches.
@@ -76,6 +76,7 @@
         if self.log.term_at(request.previous_index) == Some(request.previous_term) {
             return None;
         }
+        // Skips the whole run of entries that have the conflicting term. Committed entries match in any case.
         Some(self.log.index_before_term_of(request.previous_index).max(self.commit))
     }
 
@@ -159,7 +160,8 @@
                 progress.snapshot = None;
             }
         } else if !accepted && round > 0 {
-            // Messages were lost or the logs differ: probe from the index that the follower suggests.
+            // Messages were lost or the logs differ: probe from the index that the follower suggests. A rejection with
+            // round 0 suggests none: it answers a request from an older term.
             progress.next_index = index
                 .min(progress.next_index.previous())
                 .max(progress.match_index)
@@ -171,12 +173,16 @@
         self.promote_learner(from);
     }
 
-    /// Commits what a quorum, and at least [`QuorumPolicy::min_copies`](super::QuorumPolicy::min_copies) voters, have
-    /// synced, up to an entry of the current term. An entry of an older term may still be replaced by a leader that
-    /// lacks it, even if a quorum has synced it.
+    /// Advances the commit index to the last entry that enough voters have synced: a quorum of them, and at least
+    /// [`QuorumPolicy::min_copies`](super::QuorumPolicy::min_copies).
+    ///
+    /// It advances only to an entry of the current term, which also commits all entries before it. An entry of an older
+    /// term is not committed by itself: even if a quorum has synced it, a leader that lacks it may still be elected and
+    /// replace it.
     pub(super) fn advance_commit(&mut self) {
         let (own, synced) = (self.id, self.synced);
         let copies = self.policy.min_copies.max(self.members.quorum());
+        // The highest index that at least `copies` voters have synced.
         let replicated = self.members.replicated_value(copies, |id| {
             if id == own {
                 synced.0
@@ -213,8 +219,12 @@
         }
     }
 
-    /// Sends one message with entries, which may be empty if it is a heartbeat. Returns true if more can be sent at
-    /// once.
+    /// Sends one message with the next entries of a follower. With `heartbeat`, it is sent even without entries.
+    /// Returns true if further entries can follow immediately.
+    ///
+    /// If the log no longer contains the entry before the next ones, nothing is sent. With `heartbeat`, the follower is
+    /// instead listed in [`ReplicaOutput::needs_snapshot`](super::ReplicaOutput::needs_snapshot), unless a snapshot is
+    /// already in flight.
     fn send_append(&mut self, to: ReplicaId, heartbeat: bool) -> bool {
         let Some(progress) = self.progress.get(&to).copied() else {
             return false;
@@ -253,6 +263,7 @@
             entries,
         };
         let body = MessageBody::AppendRequest(request);
+        // May be sent before the leader has synced its own entries, since `advance_commit` counts only synced copies.
         self.output.early_messages.push(ReplicaMessage {
             from: self.id,
             to,
@@ -265,7 +276,8 @@
     /// Sends a snapshot to a follower listed in
     /// [`ReplicaOutput::needs_snapshot`](super::ReplicaOutput::needs_snapshot).
     ///
-    /// At most one snapshot is in flight to each follower. If it is lost, the follower is listed again.
+    /// At most one snapshot is in flight to each follower. If the follower has not acknowledged it after
+    /// `SNAPSHOT_RETRY_ROUNDS` heartbeat rounds, the leader lists the follower again.
     pub fn send_snapshot(&mut self, to: ReplicaId, snapshot: ReplicaSnapshot) {
         let Some(progress) = self.progress.get_mut(&to) else {
             return;
@@ -278,7 +290,8 @@
         self.send(to, body);
     }
 
-    /// Returns the members after the last applied entry, for a snapshot.
+    /// Returns a snapshot at the last entry delivered to the caller, with that entry's term and the members as of it.
+    /// `state` is the caller's state after it has applied that entry.
     pub fn snapshot_at_delivered(&self, state: bytes::Bytes) -> ReplicaSnapshot {
         let index = self.delivered();
         let term = self.log.term_at(index).unwrap_or_default();
