--- a/crates/acaciabay/src/core/consensus/election.rs
+++ b/crates/acaciabay/src/core/consensus/election.rs
@@ -10,12 +10,16 @@
 use crate::core::clock::BootTime;
 
 impl Replica {
-    /// Starts a pre-vote when the election timeout of a voter has expired.
+    /// Starts a pre-vote if this replica is a voter and its election timeout has expired. Also schedules the next
+    /// attempt, in case this one fails.
     pub(super) fn tick_election(&mut self, now: BootTime) {
         if now < self.election_deadline || !self.members.is_voter(self.id) {
             return;
         }
+        // A returning leader led its last known term before it restarted. It repeats its pre-votes quickly, but a
+        // candidate gives the others more time to vote.
         let is_returning = now < self.returning_leader_until && self.role != ReplicaRole::Candidate;
+        // The range of the time until the next attempt. If this is the first one, the next one is the first retry.
         let range = if is_returning {
             RETURNING_LEADER_TIMEOUT
         } else if self.election_attempts == 0 {
@@ -33,8 +37,8 @@
         self.count_votes(now);
     }
 
-    /// Returns true if a message's term allows it to be handled. Adopts a newer term if the message proves that it has
-    /// begun.
+    /// Returns true if a message's term allows the message to be handled. If the message proves that a newer term has
+    /// begun, this replica adopts that term.
     pub(super) fn accept_term(&mut self, now: BootTime, message: &ReplicaMessage) -> bool {
         if message.term < self.term {
             self.reject_older_term(message);
@@ -79,6 +83,8 @@
                 );
             }
             MessageBody::AppendRequest(_) | MessageBody::SnapshotRequest { .. } => {
+                // The reply only tells the sender the current term. Index and round are placeholders: the sender must
+                // neither count the reply as a confirmed round nor probe from its index.
                 let index = LogIndex(0);
                 self.send(
                     message.from,
@@ -93,10 +99,12 @@
         }
     }
 
-    /// Drops the confirmed lease of a replica that requests votes in a later term than this replica's.
+    /// Drops the confirmed lease if its holder requests votes in a later term than this replica's.
     ///
-    /// A leader requests no votes, and the sender can no longer become leader in the term of the lease. A delayed
-    /// request from before the sender became leader does not name a later term.
+    /// A confirmed lease is the time during which this replica grants no vote because it has accepted a message of the
+    /// leader, or may have done so before a restart. By requesting votes in a later term, the holder proves that it no
+    /// longer leads: a leader requests no votes, and the holder cannot become leader in the term of the lease again. A
+    /// delayed request from before it became leader does not name a later term.
     pub(super) fn release_confirmed_lease(&mut self, message: &ReplicaMessage) {
         let requests_votes = matches!(message.body, MessageBody::VoteRequest { .. });
         if requests_votes && message.term > self.term && self.confirmed_lease_leader == Some(message.from) {
@@ -113,6 +121,8 @@
         }
     }
 
+    /// Returns true if this replica must neither vote nor become a candidate: it leads and holds a lease, or it has
+    /// confirmed the lease of a leader.
     fn is_bound_by_lease(&self, now: BootTime) -> bool {
         let holds_lease = self.role == ReplicaRole::Leader && now < self.lease_until;
         holds_lease || now < self.confirmed_lease_until
@@ -224,7 +234,8 @@
         self.record_term_leader(self.id);
         self.round = 0;
         self.unconfirmed_rounds.clear();
-        // The leader holds no lease yet. This starts the period in which a quorum must confirm the first one.
+        // The leader holds no lease until a quorum has replied to a heartbeat round. If none does, it steps down
+        // `LEASE_RENEWAL_GRACE` after this time.
         self.lease_until = now;
         let next = self.log.last_index().next();
         let others = self.members.rows().map(|(id, _)| id).filter(|id| *id != self.id);
