--- a/crates/acaciabay/src/core/consensus/membership.rs
+++ b/crates/acaciabay/src/core/consensus/membership.rs
@@ -12,27 +12,28 @@
 /// Change to the members of the group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MemberChange {
-    /// Adds a replica on a host. It starts as a learner and becomes a voter once it has caught up.
+    /// Adds a replica on a host. It starts as a learner that is bound to no data folder. It becomes a voter once it is
+    /// bound to one and has caught up, if the group has fewer voters than its maximum.
     Add {
         /// Host of the new replica.
         host: HostName,
         /// Peer address of the new replica.
         address: String,
     },
-    /// Adds a replica on a host and binds it to the data folder that the host has reported.
+    /// Adds a replica on a host and binds it to the data folder that the host has reported. It starts as a learner too.
     Admit {
         /// Host of the new replica.
         host: HostName,
         /// Peer address of the new replica.
         address: String,
-        /// Data folder of the host.
+        /// Identifier of the host's data folder.
         disk: DiskId,
     },
     /// Binds a member to the data folder that its host has reported.
     Bind {
         /// Member to bind.
         replica: ReplicaId,
-        /// Data folder of its host.
+        /// Identifier of the data folder of its host.
         disk: DiskId,
     },
     /// Removes a member permanently.
@@ -66,7 +67,8 @@
     HostTaken(ReplicaId),
     /// No member has this id.
     NoSuchMember,
-    /// The member is bound to this other data folder, because its disk was emptied or replaced.
+    /// The member is bound to this other data folder, which a [`DiskId`] identifies. Its host has a new data folder
+    /// after the old one was emptied or the disk was replaced.
     DiskMismatch(DiskId),
     /// The member is the only voter.
     LastVoter,
@@ -78,7 +80,9 @@
     /// # Errors
     ///
     /// Fails on a replica that does not lead, and while another change is pending: two concurrent changes could produce
-    /// two quorums without a common member. Also fails if the change does not fit the present members.
+    /// two quorums without a common member. Also fails if the host of the new replica already runs a member, if the
+    /// member to bind or remove does not exist, if the member to bind is bound to another data folder, or if the member
+    /// to remove is the only voter.
     pub fn change_members(&mut self, change: MemberChange) -> Result<(LogIndex, ReplicaId), MemberChangeError> {
         if self.role != ReplicaRole::Leader {
             return Err(MemberChangeError::NotLeader(NotLeader { leader: self.leader }));
@@ -122,10 +126,13 @@
         self.members_index > self.commit || self.commit < self.term_start_index
     }
 
-    /// Promotes a learner to a voter once it has synced the latest membership change and nearly all committed entries.
+    /// Promotes a learner to a voter once it has synced the latest membership change and nearly all committed entries,
+    /// if it is bound to a data folder, the group has fewer voters than its maximum, and no membership change is
+    /// pending.
     ///
-    /// An earlier promotion would let a quorum consist of replicas that lack committed entries. If a second host were
-    /// lost right after a repair, those entries would be lost with it.
+    /// An earlier promotion would let a quorum consist of replicas that lack committed entries. After a repair, the new
+    /// replica lacks most entries. If a second host were lost before the new replica has caught up, committed entries
+    /// would be lost with that host.
     pub(super) fn promote_learner(&mut self, id: ReplicaId) {
         let is_bound_learner = self.members.get(id).is_some_and(|row| !row.voter && row.disk.is_some());
         let match_index = self
