--- a/crates/acaciabay/src/core/endpoint_changes.rs
+++ b/crates/acaciabay/src/core/endpoint_changes.rs
@@ -1,7 +1,9 @@
 //! An index of endpoint reports by revision, which lets the leader send each entry only the reports that are new to it.
 //!
-//! A report is indexed under each subscriber of its endpoint when it arrives. Scanning all reports at each renewal
-//! instead used a whole CPU core of the leader at 350 entries and 2,000 endpoints (`docs/CAPACITY.md`).
+//! An entry may subscribe to only some of the endpoints. When a report arrives, it is indexed under each entry that
+//! subscribes to its endpoint, or in one shared index if all entries subscribe to all endpoints (a full mesh). Scanning
+//! all reports instead, each time an entry renews its lease, used a whole CPU core of the leader at 350 entries and
+//! 2,000 endpoints (`docs/CAPACITY.md`).
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -12,12 +14,12 @@
 use crate::core::name::{EndpointName, HostName};
 use crate::core::subset_plan::SubsetPlan;
 
-/// Minimum interval between two scans for silent endpoints.
+/// Minimum interval between two scans for endpoints that have stopped reporting.
 const SILENCE_SCAN_INTERVAL: Duration = Duration::from_secs(1);
 
-/// An endpoint table with the revision at which each row last changed.
+/// An endpoint table with the revision of the latest report of each endpoint.
 ///
-/// The revision increases by one with each stored report.
+/// The revision of a report is its position in the order in which this table has stored reports, counted from 1.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointChanges {
     table: EndpointTable,
@@ -36,6 +38,7 @@
 #[derive(Clone, Debug, Default)]
 struct ChangeIndex {
     by_revision: BTreeMap<u64, EndpointName>,
+    /// The reverse of `by_revision`, for the replacement and removal of an endpoint.
     revisions: HashMap<EndpointName, u64>,
 }
 
@@ -55,7 +58,7 @@
 }
 
 impl EndpointChanges {
-    /// Sets the entries that serve, and rebuilds the index if they have changed.
+    /// Sets the entries that serve, and rebuilds all indexes if these entries have changed.
     pub fn set_entries(&mut self, entries: &EntryTable) {
         if !self.subsets.set_entries(entries) {
             return;
@@ -83,7 +86,8 @@
         );
     }
 
-    /// Removes silent endpoints from the table and the index, at most once per `EXPIRY_INTERVAL`.
+    /// Removes endpoints that have stopped reporting from the table and the indexes, at most once per
+    /// `SILENCE_SCAN_INTERVAL`.
     pub fn forget_silent(&mut self, now: BootTime) {
         if now.since(self.last_silence_scan_at) < SILENCE_SCAN_INTERVAL {
             return;
@@ -111,8 +115,11 @@
         self.revision
     }
 
-    /// Returns the endpoints that an entry subscribes to and that have reported after `revision`; one of another
-    /// leader's count yields all.
+    /// Returns the endpoints that an entry subscribes to and whose latest report is later than `revision`, the revision
+    /// up to which the entry knows the reports.
+    ///
+    /// A `revision` above the current one was counted by another leader. It is treated as 0, so that all endpoints that
+    /// the entry subscribes to are returned.
     pub fn since(&self, entry: &HostName, revision: u64) -> impl Iterator<Item = (&EndpointName, &EndpointRow)> {
         let revision = if revision > self.revision { 0 } else { revision };
         let index = if self.subsets.is_full_mesh() {
