--- a/crates/acaciabay/src/core/claim.rs
+++ b/crates/acaciabay/src/core/claim.rs
@@ -1,8 +1,10 @@
-//! Claims: replicated records that ensure that a non-repeatable call runs at most once.
+//! Claims: replicated records that prevent a second run of a call that must run at most once.
 //!
-//! An entry commits a claim before it writes the call to an endpoint. A claim covers a single attempt and is never
+//! An entry commits a claim before it sends the call to an endpoint. A claim covers a single attempt and is never
 //! transferred. If its holder dies, the outcome stays unknown, because it is impossible to determine whether the
 //! endpoint ran the call (`docs/design/at-most-once.md`).
+//!
+//! A resend is the same call, sent again by its caller with the same idempotency key.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -13,18 +15,20 @@
 use crate::core::name::{CustomerName, IdempotencyKey};
 use crate::util::digest::ContentDigest;
 
-/// Retention of a finished claim and its answer, in seconds. `docs/CALLERS.md` documents this limit for callers.
+/// Retention of the state and the answer of a claim, in seconds from when the claim was taken. When it ends, the claim
+/// becomes [`ClaimState::Expired`]. `docs/CALLERS.md` documents this limit for callers.
 pub const CLAIM_RETENTION_SECS: u64 = 24 * 60 * 60;
 
-/// Retention of a key after its answer was dropped, in seconds.
+/// Retention of a claim in the state [`ClaimState::Expired`], in seconds from the end of [`CLAIM_RETENTION_SECS`]. When
+/// it ends, the claim is removed.
 ///
-/// During this time a late resend is refused instead of being run again.
+/// During this time a late resend of the call is refused instead of being run again.
 pub const EXPIRED_CLAIM_RETENTION_SECS: u64 = 7 * 24 * 60 * 60;
 
 /// Maximum number of claims kept at once.
 ///
-/// When it is reached, new claims are refused. Evicting a claim that has not expired would let a resend of its call run
-/// a second time.
+/// When it is reached, new claims are refused. Removing a claim before the end of its retention would let a resend of
+/// its call run a second time.
 pub const MAX_CLAIMS: usize = 1_000_000;
 
 /// Maximum size of a stored answer body, in bytes. A call with a larger answer is recorded as finished, without the
@@ -49,7 +53,7 @@
     pub attempt: u64,
 }
 
-/// A complete answer of a plain service, stored to answer resends.
+/// A complete answer of a service that does not stream, stored to answer resends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredAnswer {
     /// The HTTP status code.
@@ -63,13 +67,14 @@
 /// The state of a claimed call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimState {
-    /// The holder may have written the call to an endpoint.
+    /// The holder may have sent the call to an endpoint, and the outcome is not recorded yet.
     Running,
     /// The endpoint answered.
     Finished(StoredAnswer),
-    /// The holder wrote the call but never learned its outcome.
+    /// The holder may have sent the call, and its outcome was never recorded.
     Unknown,
-    /// The retention of the answer has ended; only the fact that the call was claimed is kept.
+    /// [`CLAIM_RETENTION_SECS`] have passed. The answer is removed, and only the fact that the call was claimed is
+    /// kept.
     Expired,
 }
 
@@ -78,18 +83,19 @@
 pub struct ClaimRow {
     /// The attempt that the claim covers.
     pub holder: ClaimHolder,
-    /// The digest of the call, used to refuse another call with the same key.
+    /// The digest of the call, by which a different call with the same key is recognized and refused.
     pub digest: ContentDigest,
     /// The state of the call.
     pub state: ClaimState,
-    /// The time at which the claim was taken.
+    /// The time at which the claim was taken. If the clock is behind the time of the previous claim, that time is used
+    /// instead, so that claims stay in order of time.
     pub claimed_at: WallTime,
 }
 
 /// The outcome of a request for a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimOutcome {
-    /// The holder may write the call, once.
+    /// The holder may send the call, once.
     Granted,
     /// The call has run and had this answer.
     Answered(StoredAnswer),
@@ -99,7 +105,7 @@
     Unknown,
     /// The key was used for another call before.
     Mismatch,
-    /// The key was used before, and the retention of the answer has ended.
+    /// The key was used before, and [`CLAIM_RETENTION_SECS`] have passed since.
     Expired,
     /// The table already holds [`MAX_CLAIMS`] claims.
     Full,
@@ -109,6 +115,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClaimTable {
     rows: BTreeMap<ClaimKey, ClaimRow>,
+    /// The keys of all claims, oldest first.
     by_age: VecDeque<(WallTime, ClaimKey)>,
 }
 
@@ -141,6 +148,7 @@
         if self.rows.len() >= MAX_CLAIMS {
             return ClaimOutcome::Full;
         }
+        // Never earlier than the previous claim: `expire` relies on the claims being in order of time.
         let claimed_at = self.by_age.back().map_or(now, |(latest, _)| now.max(*latest));
         self.by_age.push_back((claimed_at, key.clone()));
         self.rows.insert(
@@ -162,14 +170,14 @@
         }
     }
 
-    /// Records that the holder wrote the call but does not know its outcome.
+    /// Records that the holder sent the call but does not know its outcome.
     pub fn mark_unknown(&mut self, key: &ClaimKey, holder: ClaimHolder) {
         if let Some(row) = self.running_row(key, holder) {
             row.state = ClaimState::Unknown;
         }
     }
 
-    /// Releases a claim whose call was never written, so that a resend may run.
+    /// Removes a claim whose call was never sent, so that a resend may run.
     pub fn release(&mut self, key: &ClaimKey, holder: ClaimHolder) {
         if self.running_row(key, holder).is_some() {
             self.rows.remove(key);
@@ -190,6 +198,8 @@
         (row.holder == holder && row.state == ClaimState::Running).then_some(row)
     }
 
+    /// Removes claims at the end of their whole retention, and marks those older than [`CLAIM_RETENTION_SECS`] as
+    /// expired.
     fn expire(&mut self, now: WallTime) {
         let total_retention = CLAIM_RETENTION_SECS + EXPIRED_CLAIM_RETENTION_SECS;
         while let Some((claimed_at, key)) = self.by_age.front() {
