--- a/crates/acaciabay/src/core/fair_queue.rs
+++ b/crates/acaciabay/src/core/fair_queue.rs
@@ -1,5 +1,5 @@
-//! Start-time fair queueing: the service that each customer gets, measured by the cost of its requests, is proportional
-//! to its weight, regardless of the number of requests that it sends.
+//! Start-time fair queueing: while several customers have waiting requests, the total cost of the requests that are
+//! served for each of them is proportional to its weight, regardless of the number of requests that it sends.
 //!
 //! The start tag of a request is the later of the current virtual time and the finish tag of the same customer's
 //! previous request. Its finish tag is the start tag plus the cost divided by the customer's weight. The request with
@@ -19,7 +19,8 @@
 pub struct RequestCost {
     /// The number of pieces of engine memory that the request occupies while it runs.
     pub pieces: u32,
-    /// The weighted sum of its tokens, the cost used for fair queueing.
+    /// The cost used for fair queueing. For an engine it is the prompt tokens plus the output tokens, each of which
+    /// counts as [`OUTPUT_TOKEN_PRICE`](crate::core::pool_admission::OUTPUT_TOKEN_PRICE) prompt tokens.
     pub tokens: u64,
 }
 
@@ -35,6 +36,7 @@
     waiting: VecDeque<WaitingRequest>,
     /// The finish tag of the customer's last request, which may have been served already.
     last_finish: f64,
+    /// The number of pieces that the waiting requests need.
     pieces: u64,
 }
 
@@ -93,7 +95,10 @@
         Some(request.ticket)
     }
 
-    /// Removes a request that no longer waits, and returns true if it was in the queue.
+    /// Removes a request whose caller no longer waits, and returns true if it was in the queue.
+    ///
+    /// The finish tags of the customer's other requests and its last finish tag stay: they still include the cost of
+    /// the removed request.
     pub fn cancel(&mut self, customer: &CustomerName, ticket: TicketNumber) -> bool {
         let Some(queue) = self.queues.get_mut(customer) else {
             return false;
--- a/crates/acaciabay/src/core/share_table.rs
+++ b/crates/acaciabay/src/core/share_table.rs
@@ -1,9 +1,10 @@
-//! The share of each pool that the leader has granted to each entry, recorded so that all grants of a pool together
-//! never exceed its capacity.
+//! The share of each pool that the leader has granted to each entry, recorded so that no new grant uses capacity that
+//! other entries may still be using. Grants made before the capacity of a pool fell may exceed it until they are
+//! lowered.
 //!
-//! An entry may still use its old grant after the leader has lowered it, because the answer that lowers it can be
-//! delayed or lost. Each entry therefore sends back the number of its current grant, and until it has confirmed the
-//! lower grant, the higher one is counted.
+//! An entry may still use its old grant after the leader has lowered it, because the reply with the lower grant can be
+//! delayed or lost. Each entry therefore sends back the number of its current grant. Until it has confirmed the lower
+//! grant in this way, the higher one is counted.
 
 use std::collections::BTreeMap;
 
@@ -31,7 +32,7 @@
     granted: u32,
     /// The number of the last grant.
     number: u64,
-    /// The largest grant that the entry may still assume to hold, in pieces.
+    /// The largest grant that the entry may still be using, in pieces: it has confirmed no lower grant since.
     max_assumed: u32,
     demand: PoolDemand,
 }
@@ -44,7 +45,10 @@
 }
 
 impl ShareTable {
-    /// Stores an entry's demand and processes the grant number that it confirms.
+    /// Stores an entry's demand.
+    ///
+    /// If the demand has the number of the last grant, the entry has confirmed this grant, and larger earlier ones no
+    /// longer count.
     pub fn report(&mut self, pool: &PoolName, host: &HostName, demand: PoolDemand) {
         let grant = self
             .pools
@@ -55,6 +59,7 @@
         if demand.number == grant.number && grant.number > 0 {
             grant.max_assumed = grant.granted;
         } else {
+            // The entry uses an earlier grant, possibly one of another leader that is not in this table.
             grant.max_assumed = grant.max_assumed.max(demand.share);
         }
         grant.demand = demand;
