--- a/benches/control/main.rs
+++ b/benches/control/main.rs
@@ -13,7 +13,7 @@
 
 use acacia_entry::ControlLink;
 use acacia_operator::OperatorClient;
-use acacia_runtime::log::silent_log;
+use acacia_runtime::log::discard_log;
 use acacia_wire::EntryCall;
 use acaciabay::core::entry_config::EntryConfig;
 use acaciabay::core::key::{KeyRow, KeyTable};
@@ -85,7 +85,7 @@
 }
 
 fn open_link(cluster: &TestCluster) -> ControlLink {
-    let (link, driver) = ControlLink::open("bench".to_owned(), control_peers(cluster), silent_log());
+    let (link, driver) = ControlLink::open("bench".to_owned(), control_peers(cluster), discard_log());
     tokio::spawn(driver.run());
     link
 }
--- a/src/bin/acacia-local.rs
+++ b/src/bin/acacia-local.rs
@@ -9,7 +9,7 @@
 use acacia_entry::RunningEntry;
 use acacia_http::{FetchRequest, fetch_json};
 use acacia_operator::{IssuedKey, OperatorClient};
-use acacia_runtime::log::{open_log, silent_log};
+use acacia_runtime::log::{discard_log, open_log};
 use acacia_runtime::metrics_page::MetricsPage;
 use acacia_runtime::program::{run_program, stop_token};
 use acacia_settings::{
@@ -61,7 +61,7 @@
     let log = if args.logs {
         open_log("acacia-local", "local")
     } else {
-        silent_log()
+        discard_log()
     };
     let stop = stop_token()?;
     let system = start(&args.data, &stop, &log).await?;
