--- a/crates/acacia-runtime/src/program.rs
+++ b/crates/acacia-runtime/src/program.rs
@@ -51,17 +51,17 @@
 fn run_on<F: Future<Output = anyhow::Result<()>>>(builder: &mut Builder, program: impl FnOnce() -> F) -> ExitCode {
     let runtime = match builder.enable_all().build() {
         Ok(runtime) => runtime,
-        Err(error) => return report(&anyhow::Error::new(error).context("failed to start the runtime")),
+        Err(error) => return report_error(&anyhow::Error::new(error).context("failed to start the runtime")),
     };
     match runtime.block_on(program()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => report(&error),
+        Err(error) => report_error(&error),
     }
 }
 
 /// Reloads a settings file on each SIGHUP and publishes its seed addresses, which may change while the process runs.
 ///
-/// The channel holds `first` until the first reload. A file that is unreadable or invalid leaves the
+/// The channel holds `initial` until the first reload. A file that is unreadable or invalid leaves the
 /// seeds unchanged.
 ///
 /// # Errors
@@ -69,12 +69,12 @@
 /// Fails if the signal handler cannot be installed.
 pub fn follow_seeds<T: 'static>(
     path: PathBuf,
-    first: Vec<SocketAddr>,
+    initial: Vec<SocketAddr>,
     check: impl Fn(&Value) -> Result<T, Findings> + Send + 'static,
     seeds_of: impl Fn(T) -> Vec<SocketAddr> + Send + 'static,
     log: Logger,
 ) -> std::io::Result<watch::Receiver<Vec<SocketAddr>>> {
-    let (sender, receiver) = watch::channel(first);
+    let (sender, receiver) = watch::channel(initial);
     let mut reloads = signal(SignalKind::hangup())?;
     tokio::spawn(async move {
         while reloads.recv().await.is_some() {
@@ -95,7 +95,7 @@
 }
 
 /// Prints an error and its causes to standard error, and returns the exit code for a failure.
-pub fn report(error: &anyhow::Error) -> ExitCode {
+pub fn report_error(error: &anyhow::Error) -> ExitCode {
     eprintln!("error: {error}");
     for cause in error.chain().skip(1) {
         eprintln!("  caused by: {cause}");
@@ -121,7 +121,7 @@
         }
         Ok(settings) => Ok(settings),
         Err(error) => {
-            report(&error);
+            report_error(&error);
             Err(ExitCode::from(BAD_INPUT))
         }
     }
--- a/src/bin/acacia-control.rs
+++ b/src/bin/acacia-control.rs
@@ -7,7 +7,7 @@
 use acacia_control::form_group;
 use acacia_runtime::log::open_log;
 use acacia_runtime::metrics_page::MetricsPage;
-use acacia_runtime::program::{read_settings, report, run_program, stop_token};
+use acacia_runtime::program::{read_settings, report_error, run_program, stop_token};
 use acacia_settings::ControlSettings;
 use argh::FromArgs;
 
@@ -37,7 +37,7 @@
     if args.form {
         return match form_group(&settings, args.peer_address.unwrap_or(settings.peer_address)) {
             Ok(()) => ExitCode::SUCCESS,
-            Err(error) => report(&error),
+            Err(error) => report_error(&error),
         };
     }
     run_program(|| async {
