--- a/crates/acacia-entry/src/caller_http.rs
+++ b/crates/acacia-entry/src/caller_http.rs
@@ -33,7 +33,7 @@
             (refusal.into_response(), code)
         }
     };
-    span.note("code", &code);
+    span.set_attribute("code", &code);
     metrics::counter!("acacia_requests_total", "path" => path, "code" => code).increment(1);
     let id = named.unwrap_or_else(|| HeaderValue::from(entry.next_number()));
     response.headers_mut().insert(REQUEST_ID, id);
--- a/crates/acacia-entry/src/completion.rs
+++ b/crates/acacia-entry/src/completion.rs
@@ -270,8 +270,8 @@
             let guard = self.entry.begin_send(&place.endpoint, self.body.cost.pieces);
             let id = format!("{}-{}", self.caller.id, self.attempts);
             let mut span = self.entry.spans.start("attempt", self.caller.trace);
-            span.note("endpoint", &place.endpoint);
-            span.note("offset", &self.next_offset);
+            span.set_attribute("endpoint", &place.endpoint);
+            span.set_attribute("offset", &self.next_offset);
             let request = self.endpoint_request(&place, &id, span.context());
             let sent_at = boot_now();
             let sent = self
--- a/crates/acacia-entry/src/service_call.rs
+++ b/crates/acacia-entry/src/service_call.rs
@@ -307,7 +307,7 @@
         return Err(AttemptFailure::NotRun);
     }
     let mut span = entry.spans.start("attempt", call.caller.trace);
-    span.note("endpoint", endpoint);
+    span.set_attribute("endpoint", endpoint);
     let request = endpoint_request(call, row, span.context());
     let whole = async {
         let sent = entry.client.send(boot_now(), row.address, choice, request).await;
--- a/crates/acacia-runtime/src/trace.rs
+++ b/crates/acacia-runtime/src/trace.rs
@@ -21,7 +21,7 @@
 pub const TRACEPARENT: &str = "traceparent";
 
 /// Capacity of the queue of finished spans that wait to be written.
-const WAITING_SPANS: usize = 8_192;
+const SPAN_QUEUE_CAPACITY: usize = 8_192;
 
 /// The position of a request in its trace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -86,7 +86,7 @@
         let Some(path) = path else { return Ok(Self::default()) };
         let file = std::fs::OpenOptions::new().create(true).append(true).open(path);
         let file = file.with_context(|| format!("failed to open the trace file `{}`", path.display()))?;
-        let (sender, receiver) = sync_channel(WAITING_SPANS);
+        let (sender, receiver) = sync_channel(SPAN_QUEUE_CAPACITY);
         let (host, log) = (host.to_owned(), log.clone());
         std::thread::spawn(move || write_spans(&file, &receiver, program, &host, &log));
         Ok(Self { finished: Some(sender) })
@@ -127,7 +127,7 @@
     }
 
     /// Adds an attribute to the span.
-    pub fn note(&mut self, key: &'static str, value: &impl ToString) {
+    pub fn set_attribute(&mut self, key: &'static str, value: &impl ToString) {
         if self.recorder.finished.is_some() {
             self.attributes.push((key, value.to_string()));
         }
