--- a/crates/acacia-runtime/src/trace.rs
+++ b/crates/acacia-runtime/src/trace.rs
@@ -27,50 +27,50 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TraceContext {
     /// Identifier of the whole request, the same in all processes.
-    pub trace: u128,
+    pub trace_id: u128,
     /// Identifier of the span that becomes the parent of the next one, or 0 at the root of the trace.
-    pub span: u64,
+    pub span_id: u64,
 }
 
 impl TraceContext {
     /// Reads the header's value; anything that is not version 00 is treated as absent, as the standard asks.
     pub fn parse(header: &str) -> Option<Self> {
         let mut parts = header.split('-');
-        let (version, trace, span) = (parts.next()?, parts.next()?, parts.next()?);
-        if version != "00" || trace.len() != 32 || span.len() != 16 || parts.next()?.len() != 2 {
+        let (version, trace_id, span_id) = (parts.next()?, parts.next()?, parts.next()?);
+        if version != "00" || trace_id.len() != 32 || span_id.len() != 16 || parts.next()?.len() != 2 {
             return None;
         }
-        let trace = u128::from_str_radix(trace, 16).ok().filter(|trace| *trace != 0)?;
-        let span = u64::from_str_radix(span, 16).ok().filter(|span| *span != 0)?;
-        Some(Self { trace, span })
+        let trace_id = u128::from_str_radix(trace_id, 16).ok().filter(|id| *id != 0)?;
+        let span_id = u64::from_str_radix(span_id, 16).ok().filter(|id| *id != 0)?;
+        Some(Self { trace_id, span_id })
     }
 
     /// Creates the root of a new trace, for a request without a trace context.
     pub fn new_root(random: &mut impl Rng) -> Self {
         Self {
-            trace: random.random_range(1..u128::MAX),
-            span: 0,
+            trace_id: random.random_range(1..u128::MAX),
+            span_id: 0,
         }
     }
 }
 
 impl fmt::Display for TraceContext {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "00-{:032x}-{:016x}-01", self.trace, self.span)
+        write!(f, "00-{:032x}-{:016x}-01", self.trace_id, self.span_id)
     }
 }
 
 /// Writer of finished spans to the trace file. Without a file, it discards them.
 #[derive(Clone, Debug, Default)]
 pub struct SpanRecorder {
-    finished: Option<SyncSender<SpanRecord>>,
+    queue: Option<SyncSender<SpanRecord>>,
 }
 
 #[derive(Debug)]
 struct SpanRecord {
     name: &'static str,
     context: TraceContext,
-    parent: u64,
+    parent_id: u64,
     started_at: u64,
     ended_at: u64,
     attributes: Vec<(&'static str, String)>,
@@ -89,20 +89,20 @@
         let (sender, receiver) = sync_channel(SPAN_QUEUE_CAPACITY);
         let (host, log) = (host.to_owned(), log.clone());
         std::thread::spawn(move || write_spans(&file, &receiver, program, &host, &log));
-        Ok(Self { finished: Some(sender) })
+        Ok(Self { queue: Some(sender) })
     }
 
     /// Starts a child span of `parent`, which ends when it is dropped.
     pub fn start(&self, name: &'static str, parent: TraceContext) -> ActiveSpan {
-        let span = rand::rng().random_range(1..u64::MAX);
+        let span_id = rand::rng().random_range(1..u64::MAX);
         ActiveSpan {
             recorder: self.clone(),
             name,
             context: TraceContext {
-                trace: parent.trace,
-                span,
+                trace_id: parent.trace_id,
+                span_id,
             },
-            parent: parent.span,
+            parent_id: parent.span_id,
             started_at: wall_nanos(),
             attributes: Vec::new(),
         }
@@ -115,7 +115,7 @@
     recorder: SpanRecorder,
     name: &'static str,
     context: TraceContext,
-    parent: u64,
+    parent_id: u64,
     started_at: u64,
     attributes: Vec<(&'static str, String)>,
 }
@@ -128,7 +128,7 @@
 
     /// Adds an attribute to the span.
     pub fn set_attribute(&mut self, key: &'static str, value: &impl ToString) {
-        if self.recorder.finished.is_some() {
+        if self.recorder.queue.is_some() {
             self.attributes.push((key, value.to_string()));
         }
     }
@@ -136,18 +136,18 @@
 
 impl Drop for ActiveSpan {
     fn drop(&mut self) {
-        let Some(finished) = &self.recorder.finished else {
+        let Some(queue) = &self.recorder.queue else {
             return;
         };
         let record = SpanRecord {
             name: self.name,
             context: self.context,
-            parent: self.parent,
+            parent_id: self.parent_id,
             started_at: self.started_at,
             ended_at: wall_nanos(),
             attributes: std::mem::take(&mut self.attributes),
         };
-        if finished.try_send(record).is_err() {
+        if queue.try_send(record).is_err() {
             metrics::counter!("acacia_spans_dropped_total").increment(1);
         }
     }
@@ -173,16 +173,16 @@
 
 fn span_to_json(span: &SpanRecord) -> Value {
     let mut value = json!({
-        "traceId": format!("{:032x}", span.context.trace),
-        "spanId": format!("{:016x}", span.context.span),
+        "traceId": format!("{:032x}", span.context.trace_id),
+        "spanId": format!("{:016x}", span.context.span_id),
         "name": span.name,
         "kind": 1,
         "startTimeUnixNano": span.started_at.to_string(),
         "endTimeUnixNano": span.ended_at.to_string(),
         "attributes": span.attributes.iter().map(|(key, value)| attribute(key, value)).collect::<Vec<_>>(),
     });
-    if span.parent != 0 {
-        value["parentSpanId"] = json!(format!("{:016x}", span.parent));
+    if span.parent_id != 0 {
+        value["parentSpanId"] = json!(format!("{:016x}", span.parent_id));
     }
     value
 }
