--- a/crates/acacia-runtime/src/admin.rs
+++ b/crates/acacia-runtime/src/admin.rs
@@ -22,12 +22,12 @@
 ) {
     serve_http(listener, ServerBounds::default(), stop, move |request| {
         let (page, is_ready, inspect) = (page.clone(), is_ready.clone(), inspect.clone());
-        async move { answer(request.uri().path(), &page, is_ready, inspect) }
+        async move { respond(request.uri().path(), &page, is_ready, inspect) }
     })
     .await;
 }
 
-fn answer(
+fn respond(
     path: &str,
     page: &MetricsPage,
     is_ready: impl Fn() -> bool,
