--- a/crates/acacia-http/src/lib.rs
+++ b/crates/acacia-http/src/lib.rs
@@ -1,4 +1,5 @@
-//! HTTP as all daemons use it: a bounded server and a client that knows what it has written.
+//! HTTP/1.1 server and client shared by all daemons. The server limits what a client may use, and
+//! the client reports whether a failed request was written to the connection.
 
 mod body;
 mod client;
