--- a/crates/acacia-http/src/body.rs
+++ b/crates/acacia-http/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests and answers.
+//! Bodies of HTTP requests and responses.
 
 use std::time::Duration;
 
@@ -10,22 +10,22 @@
 use hyper::{Response, StatusCode};
 use serde_json::Value;
 
-/// The body of an answer, whole or streamed. An error breaks the connection, so that a caller sees that the answer is
-/// not whole.
+/// Body of a response, either complete or streamed. An error closes the connection, so that the client detects that the
+/// body is incomplete.
 pub type ResponseBody = UnsyncBoxBody<Bytes, std::io::Error>;
 
-/// Why a request body was not taken.
+/// Reason why a body could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyRefusal {
-    /// It is larger than the limit.
+    /// The body is larger than the limit.
     TooLarge,
-    /// It took longer than the timeout.
+    /// The body did not arrive within the timeout.
     TimedOut,
-    /// The connection broke.
+    /// The connection failed before the end of the body.
     Broken,
 }
 
-/// Returns a body that is whole from the start.
+/// Returns a body with the given content.
 pub fn full_body(bytes: impl Into<Bytes>) -> ResponseBody {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed_unsync()
 }
@@ -35,12 +35,12 @@
     Empty::new().map_err(|never| match never {}).boxed_unsync()
 }
 
-/// Returns an answer whose body is JSON.
+/// Returns a response with a JSON body.
 pub fn json_response(status: StatusCode, value: &Value) -> Response<ResponseBody> {
     typed_response(status, "application/json", value.to_string())
 }
 
-/// Returns an answer whose body is plain text.
+/// Returns a response with a plain-text body.
 pub fn text_response(status: StatusCode, text: impl Into<String>) -> Response<ResponseBody> {
     typed_response(status, "text/plain; charset=utf-8", text.into())
 }
@@ -54,12 +54,12 @@
     response
 }
 
-/// Reads a whole body.
+/// Reads a body to its end.
 ///
 /// # Errors
 ///
-/// Refuses a body that is larger than `limit` bytes as soon as that is known, and one that takes longer than `timeout`:
-/// a client that sends a byte a second would otherwise hold memory for as long as it likes.
+/// Fails as soon as the body is known to be larger than `limit` bytes, or when it takes longer than `timeout`. Without
+/// the timeout, a client that sends one byte per second could hold memory indefinitely.
 pub async fn read_body(body: Incoming, limit: usize, timeout: Duration) -> Result<Bytes, BodyRefusal> {
     if body.size_hint().lower() > limit as u64 {
         return Err(BodyRefusal::TooLarge);
