--- a/crates/acacia-http/src/fetch.rs
+++ b/crates/acacia-http/src/fetch.rs
@@ -1,4 +1,4 @@
-//! One JSON request to one of our own interfaces, on a connection of its own.
+//! Client for single JSON requests to the interfaces of the daemons, each on a new connection.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,37 +14,37 @@
 use crate::body::read_body;
 use crate::client::{ClientOptions, ConnectionChoice, EndpointClient};
 
-/// The largest answer that is read.
+/// Maximum size of a response body, in bytes.
 const LARGEST_ANSWER: usize = 64 * 1024 * 1024;
 
-/// A whole answer.
+/// A response whose body has been read completely.
 #[derive(Clone, Debug)]
 pub struct FetchedAnswer {
-    /// The status.
+    /// Status code.
     pub status: StatusCode,
-    /// The headers.
+    /// Response headers.
     pub headers: HeaderMap,
-    /// The body; null when it was empty or not JSON.
+    /// Body, or null if it was empty or not valid JSON.
     pub body: Value,
 }
 
 /// A request with a JSON body.
 #[derive(Clone, Copy, Debug)]
 pub struct FetchRequest<'req> {
-    /// The method.
+    /// Request method.
     pub method: &'req Method,
-    /// The path with its query.
+    /// Path and query.
     pub path: &'req str,
-    /// The bearer token.
+    /// Bearer token of the `Authorization` header.
     pub token: Option<&'req str>,
-    /// Further headers.
+    /// Additional headers.
     pub headers: &'req [(&'req str, &'req str)],
-    /// The body.
+    /// JSON body.
     pub body: Option<&'req Value>,
 }
 
 impl<'req> FetchRequest<'req> {
-    /// Creates a request without token, headers and body.
+    /// Creates a request without a token, additional headers or a body.
     pub const fn new(method: &'req Method, path: &'req str) -> Self {
         Self {
             method,
@@ -64,11 +64,11 @@
     }
 }
 
-/// Sends a request and reads the whole answer.
+/// Sends a request and reads the complete response.
 ///
 /// # Errors
 ///
-/// Fails when the address cannot be reached or the answer does not arrive within `timeout`.
+/// Fails if the address cannot be reached, or if the response does not arrive within `timeout` or cannot be read.
 pub async fn fetch_json(
     address: SocketAddr,
     request: FetchRequest<'_>,
