--- a/crates/acacia-http/src/message_head.rs
+++ b/crates/acacia-http/src/message_head.rs
@@ -1,4 +1,4 @@
-//! Heads of messages that are passed on: what concerns one connection only, and how large a head is.
+//! Functions for the heads of forwarded messages: hop-by-hop headers, head size, request target and keep-alive.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, Uri};
 
-/// How long the sender keeps the connection.
+/// Name of the header that states how long the sender keeps an idle connection open.
 pub const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// Headers that concern one connection only.
+/// Headers that apply to a single connection and are not forwarded.
 const HOP_HEADERS: [HeaderName; 9] = [
     CONNECTION,
     KEEP_ALIVE,
@@ -24,11 +24,11 @@
     EXPECT,
 ];
 
-/// What a header takes beside its name and value: a colon, a space and the end of the line.
+/// Bytes that a header line takes in addition to its name and value: a colon, a space and the line ending.
 const HEADER_FRAME: usize = 4;
 
-/// Removes what concerns one connection only, and what a `Connection` header names as such, except what has to reach the
-/// other end in any case.
+/// Returns the headers without the hop-by-hop headers and without those that a `Connection` header lists. A listed
+/// header is kept if it is in `end_to_end`.
 pub fn without_hop_headers(headers: &HeaderMap, end_to_end: &[HeaderName]) -> HeaderMap {
     let mut kept = headers.clone();
     let named = headers.get_all(CONNECTION).iter();
@@ -48,7 +48,7 @@
     kept
 }
 
-/// Returns how many bytes the path and the headers of a request take.
+/// Returns the size of a request's path and headers, in bytes.
 pub fn head_size(parts: &Parts) -> usize {
     let fields = parts
         .headers
@@ -57,13 +57,14 @@
     parts.uri.path().len() + fields.sum::<usize>()
 }
 
-/// Returns path and query of a target, without scheme and host.
+/// Returns the path and query of a URI, without scheme and authority.
 pub fn path_of(uri: &Uri) -> Uri {
     let path = uri.path_and_query().map_or("/", |path| path.as_str());
     path.parse().unwrap_or_else(|_source| uri.clone())
 }
 
-/// Reads for how long the sender of a message keeps its connection: the seconds of `timeout=5, max=100`.
+/// Returns how long the sender of a message keeps an idle connection open, from the `timeout` parameter of its
+/// `Keep-Alive` header, such as `timeout=5, max=100`.
 pub fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get(KEEP_ALIVE)?.to_str().ok()?;
     let seconds = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
