--- a/crates/acacia-http/src/server.rs
+++ b/crates/acacia-http/src/server.rs
@@ -1,4 +1,4 @@
-//! An HTTP/1.1 server with bounds on what a client may take, and a stop that cuts no request.
+//! HTTP/1.1 server with limits for each client and graceful shutdown.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -20,20 +20,20 @@
 use crate::body::ResponseBody;
 use crate::client::prepare_socket;
 
-/// How long the kernel goes on trying to deliver an answer to a client that does not acknowledge it.
+/// TCP user timeout: how long the kernel retransmits a response that the client does not acknowledge.
 const CLIENT_USER_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How long to wait after the system refused to accept a connection, for example for lack of file descriptors.
+/// Delay after a failed `accept`, for example when the process has no file descriptors left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Bounds on what a client may take.
+/// Limits on the resources that clients may use.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerBounds {
-    /// The largest request head, in bytes; a larger one is answered 431.
+    /// Maximum size of a request head, in bytes. A larger one is answered with status 431.
     pub head_bytes: usize,
-    /// How long a client may take to send a request head, counted anew for each request on the connection.
+    /// Time limit for receiving a request head. It starts again for each request on the connection.
     pub head_timeout: Duration,
-    /// Most connections open at once; further ones wait to be accepted.
+    /// Maximum number of open connections. Further ones wait to be accepted.
     pub connections: usize,
 }
 
@@ -47,18 +47,18 @@
     }
 }
 
-/// Opens a listener.
+/// Binds a TCP listener to an address.
 ///
 /// # Errors
 ///
-/// Fails, naming the address, when it is taken or not this host's.
+/// Fails if the address is in use or does not belong to this host. The error names the address.
 pub async fn listen(address: SocketAddr) -> anyhow::Result<TcpListener> {
     TcpListener::bind(address)
         .await
         .with_context(|| format!("failed to listen on `{address}`"))
 }
 
-/// Serves connections until `stop` is cancelled, then finishes the requests that have begun and returns.
+/// Serves connections until `stop` is cancelled, then completes the requests in progress and returns.
 pub async fn serve_http<F>(
     listener: TcpListener,
     bounds: ServerBounds,
@@ -70,7 +70,8 @@
     serve_http_within(listener, move || bounds, stop, handle).await;
 }
 
-/// Serves like [`serve_http`], with bounds that are asked for at each connection because they may change.
+/// Serves connections like [`serve_http`], but calls `bounds_now` for each new connection, because the bounds may
+/// change. The maximum number of connections is read only once, at the start.
 pub async fn serve_http_within<F>(
     listener: TcpListener,
     bounds_now: impl Fn() -> ServerBounds,
@@ -127,7 +128,7 @@
         .half_close(false)
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = pin!(connection);
-    // A failed connection concerns its client alone, which sees the failure itself.
+    // An error is ignored: it affects only this connection, and the client notices it.
     let _ended = tokio::select! {
         ended = connection.as_mut() => ended,
         () = stop.cancelled() => {
