--- a/crates/acacia-http/src/watched_stream.rs
+++ b/crates/acacia-http/src/watched_stream.rs
@@ -1,4 +1,4 @@
-//! A connection that counts what was written and can refuse to write.
+//! TCP stream that counts the written bytes and can refuse to write.
 
 use std::fmt;
 use std::io;
@@ -10,17 +10,18 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Decides at each write of a connection whether it may still happen.
+/// Condition that is checked before each write to a connection.
 ///
-/// A process that was paused between deciding to send and sending would act on authority that it has lost meanwhile.
-/// Asking here, in the write itself, leaves only what the kernel already holds, and `TCP_USER_TIMEOUT` bounds that.
+/// A process that is paused between the decision to send and the write may have lost its authority to send, such as a
+/// lease, in the meantime. With the check in the write itself, only data that the kernel has already buffered can still
+/// be sent, and `TCP_USER_TIMEOUT` limits how long.
 #[derive(Clone)]
 pub struct WriteGuard {
     permits: Arc<dyn Fn() -> bool + Send + Sync>,
 }
 
 impl WriteGuard {
-    /// Wraps the question.
+    /// Creates a guard that allows a write if `permits` returns true.
     pub fn new(permits: impl Fn() -> bool + Send + Sync + 'static) -> Self {
         Self {
             permits: Arc::new(permits),
@@ -34,7 +35,7 @@
     }
 }
 
-/// Counts the bytes that a connection has handed to the kernel.
+/// Counter of the bytes that a connection has passed to the kernel.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WrittenBytes(Arc<AtomicU64>);
 
