--- a/crates/acacia-http/src/client.rs
+++ b/crates/acacia-http/src/client.rs
@@ -1,8 +1,8 @@
-//! A client for endpoints that can tell whether a failed request was ever written.
+//! HTTP client for endpoints that reports whether any part of a failed request was written.
 //!
-//! A refusal that says "not run" must be true, so the client counts the bytes that each connection has handed to the
-//! kernel. A connection is used again only after its last answer ended cleanly: a late answer on a reused connection
-//! would otherwise reach another caller.
+//! A caller may be told that a request was not run only if that is certain, so the client counts the bytes that each
+//! connection has passed to the kernel. A connection is reused only after its last response was read to the end.
+//! Otherwise, the rest of that response could be delivered to another caller.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -23,19 +23,19 @@
 
 use crate::watched_stream::{WatchedStream, WriteGuard, WrittenBytes};
 
-/// How the client treats its connections.
+/// Timeouts and limits for the connections of a client.
 #[derive(Clone, Debug)]
 pub struct ClientOptions {
-    /// How long a connection attempt may take.
+    /// Time limit for a connection attempt.
     pub connect_timeout: Duration,
-    /// How long the kernel may go on trying to deliver what was written.
+    /// TCP user timeout: how long the kernel retransmits data that the endpoint does not acknowledge.
     pub user_timeout: Duration,
-    /// How long an unused connection is kept. Something between the two ends may lose track of an idle connection, and
-    /// the next request on it would then wait in vain; a short bound makes that rare.
+    /// Maximum time for which an idle connection is kept. A device on the path may drop the state of an idle connection
+    /// without notice, and the next request on it would get no answer. A short limit makes that rare.
     pub idle_timeout: Duration,
-    /// Most unused connections kept for one address.
+    /// Maximum number of idle connections kept for each address.
     pub idle_connections: usize,
-    /// Asked at each write, where sending needs authority.
+    /// Condition checked before each write, for clients whose authority to send may expire.
     pub guard: Option<WriteGuard>,
 }
 
@@ -51,19 +51,19 @@
     }
 }
 
-/// Which connection a request may go out on.
+/// Choice between an idle connection and a new one for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionChoice {
-    /// An unused one if there is one.
+    /// Uses an idle connection if there is one, or else opens a new one.
     Pooled,
-    /// A new one, because an old one is suspected.
+    /// Opens a new connection, for use when an idle one may be broken.
     Fresh,
 }
 
-/// A request that got no answer.
+/// Error of a request that received no response.
 #[derive(Debug)]
 pub struct SendFailure {
-    /// How far the request had come: [`AttemptState::Unsent`] or [`AttemptState::Written`].
+    /// Progress of the request: [`AttemptState::Unsent`] or [`AttemptState::Written`].
     pub state: AttemptState,
     source: anyhow::Error,
 }
@@ -90,16 +90,16 @@
 
 impl std::error::Error for SendFailure {}
 
-/// The head of an answer, with the connection that its body is still arriving on.
+/// Head of a response, with the connection on which the body is still arriving.
 #[derive(Debug)]
 pub struct EndpointAnswer {
-    /// The answer; its body must be read to the end before the connection can be used again.
+    /// Response, whose body must be read to the end before the connection can be reused.
     pub response: Response<Incoming>,
-    /// The connection, for [`EndpointClient::give_back`].
+    /// Connection to pass to [`EndpointClient::give_back`].
     pub connection: FinishedConnection,
 }
 
-/// A connection whose answer is being read.
+/// Connection on which a response is being read.
 #[derive(Debug)]
 pub struct FinishedConnection {
     address: SocketAddr,
@@ -118,7 +118,7 @@
     until: BootTime,
 }
 
-/// Sends requests to endpoints over connections of its own.
+/// HTTP client for endpoints with a pool of idle connections.
 #[derive(Debug)]
 pub struct EndpointClient {
     options: ClientOptions,
@@ -126,7 +126,7 @@
 }
 
 impl EndpointClient {
-    /// Creates a client without connections.
+    /// Creates a client without open connections.
     pub fn new(options: ClientOptions) -> Self {
         Self {
             options,
@@ -134,14 +134,14 @@
         }
     }
 
-    /// Sends a request and waits for the head of the answer.
+    /// Sends a request and waits for the head of the response.
     ///
-    /// Dropping the returned future, or the answer's body before its end, closes the connection; the endpoint takes
-    /// that as a cancellation.
+    /// Dropping the returned future, or the response body before its end, closes the connection, which the endpoint
+    /// treats as a cancellation.
     ///
     /// # Errors
     ///
-    /// Fails with [`AttemptState::Unsent`] only if no byte of the request was handed to the kernel.
+    /// Fails with [`AttemptState::Unsent`] only if no byte of the request was passed to the kernel.
     pub async fn send(
         &self,
         now: BootTime,
@@ -167,12 +167,13 @@
         }
     }
 
-    /// Keeps a connection for later, after the answer's body was read to its end.
+    /// Returns a connection to the pool after the response body was read to its end.
     pub async fn give_back(&self, now: BootTime, finished: FinishedConnection) {
         self.give_back_for(now, finished, self.options.idle_timeout).await;
     }
 
-    /// Keeps a connection for later, but no longer than `keep`: what the other side has said that it keeps it.
+    /// Returns a connection to the pool for at most `keep`, the time for which the endpoint has announced to keep it
+    /// open.
     pub async fn give_back_for(&self, now: BootTime, finished: FinishedConnection, keep: Duration) {
         let until = now + keep.min(self.options.idle_timeout);
         let FinishedConnection {
@@ -248,12 +249,12 @@
     }
 }
 
-/// Connects, and sets the options that find a silent connection. Without a bound of its own an attempt hangs for minutes
-/// where the other host does not answer.
+/// Connects with a time limit and sets the socket options of [`prepare_socket`]. Without the limit, an attempt takes
+/// minutes to fail if the other host does not answer.
 ///
 /// # Errors
 ///
-/// Fails when the time has passed, the other end refuses, or the system refuses an option.
+/// Fails if the attempt times out, the connection is refused, or a socket option cannot be set.
 pub async fn connect_within(
     address: impl ToSocketAddrs,
     connect_timeout: Duration,
@@ -264,11 +265,12 @@
     Ok(stream)
 }
 
-/// Sets the options that find a silent connection: keepalive while it is idle, a user timeout while data is under way.
+/// Sets the socket options that detect a dead connection: keepalive while it is idle, and a user timeout while sent
+/// data is unacknowledged. Also disables Nagle's algorithm.
 ///
 /// # Errors
 ///
-/// Fails when the system refuses an option.
+/// Fails if a socket option cannot be set.
 pub fn prepare_socket(stream: &TcpStream, user_timeout: Duration) -> std::io::Result<()> {
     const KEEPALIVE_IDLE: Duration = Duration::from_secs(5);
     const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
