--- a/crates/acacia-http/tests/client.rs
+++ b/crates/acacia-http/tests/client.rs
@@ -1,4 +1,5 @@
-//! What the client says of a failed request must be true, and no connection may carry two answers into each other.
+//! Tests that the client reports correctly whether a failed request was sent, and that a response never reaches another
+//! request on a reused connection.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,14 +25,14 @@
         .expect("it is valid")
 }
 
-/// What a scripted server does with each connection.
+/// Behaviour of the test server on each connection.
 #[derive(Clone, Copy, Debug)]
 enum Script {
-    /// Answers every request on it.
+    /// Answers every request.
     Answer,
-    /// Reads a request and closes.
+    /// Reads a request and closes the connection.
     ReadAndClose,
-    /// Answers one request and then says nothing more.
+    /// Answers the first request and ignores the following ones.
     AnswerOnce,
 }
 
@@ -90,7 +91,7 @@
     client.give_back(NOW, answer.connection).await;
 }
 
-/// Nothing listens at the endpoint's address any more.
+/// A request to an address without a listener is reported as unsent.
 #[tokio::test]
 async fn refused_connection_is_unsent() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
@@ -104,7 +105,8 @@
     assert_eq!(failure.expect_err("nothing listens").state, AttemptState::Unsent);
 }
 
-/// An endpoint reads a request and dies. It may have run it, so the request must not pass for one that was not run.
+/// An endpoint closes the connection after it has read a request. It may have run the request, so the failure must not
+/// be reported as unsent.
 #[tokio::test]
 async fn request_that_was_read_is_written() {
     let (address, _) = serve(Script::ReadAndClose).await;
@@ -128,8 +130,8 @@
     assert_eq!(record.connections.load(Ordering::SeqCst), 1);
 }
 
-/// A caller gives up before its answer is whole. The rest of that answer arrives on the same connection later and must
-/// not be taken for the next request's.
+/// A caller stops before it has read its response completely. The rest arrives on the same connection later and must
+/// not be read as the response to the next request.
 #[tokio::test]
 async fn connection_with_an_unread_answer_is_not_used_again() {
     let (address, record) = serve(Script::Answer).await;
@@ -145,7 +147,7 @@
     assert_eq!(record.connections.load(Ordering::SeqCst), 2);
 }
 
-/// Something on the way has lost track of an idle connection. One that was idle for long is not trusted.
+/// A device on the path may drop the state of an idle connection, so a connection past the idle timeout is not reused.
 #[tokio::test]
 async fn connection_that_was_idle_for_long_is_not_used() {
     let (address, record) = serve(Script::AnswerOnce).await;
@@ -159,8 +161,8 @@
     assert_eq!(record.connections.load(Ordering::SeqCst), 2);
 }
 
-/// A process decides to send an order and is paused; its lease runs out before it goes on. No byte of the order may
-/// leave then, because another process is in charge.
+/// A process is paused between deciding to send an order and sending it, and its lease expires meanwhile. No byte of
+/// the order may be sent, because another process may hold the lease.
 #[tokio::test]
 async fn nothing_is_written_once_the_guard_says_no() {
     let (address, record) = serve(Script::Answer).await;
