--- a/crates/acacia-control/src/daemon.rs
+++ b/crates/acacia-control/src/daemon.rs
@@ -63,11 +63,16 @@
 }
 
 impl SoftState {
-    /// Returns the reports after revision `mark` of the endpoints that the entry on `host` subscribes to.
-    pub(crate) fn changes_for(&mut self, entries: &EntryTable, host: &HostName, mark: u64) -> Vec<ReportRow> {
+    /// Returns the reports after `revision` of the endpoints that the entry on `host` subscribes to.
+    pub(crate) fn endpoint_changes_for(
+        &mut self,
+        entries: &EntryTable,
+        host: &HostName,
+        revision: u64,
+    ) -> Vec<ReportRow> {
         self.endpoints.set_entries(entries);
         self.endpoints
-            .since(host, mark)
+            .since(host, revision)
             .map(|(name, row)| (name.clone(), row.clone()))
             .collect()
     }
@@ -78,7 +83,7 @@
     ///
     /// A task that also needs the replicated state must lock that first. Otherwise, two tasks that each hold one of the
     /// locks, and the driver that waits to write the replicated state, could deadlock.
-    pub(crate) fn soft(&self) -> MutexGuard<'_, SoftState> {
+    pub(crate) fn soft_state(&self) -> MutexGuard<'_, SoftState> {
         let since = self.group.status().borrow().leading_since.unwrap_or_else(boot_now);
         let mut soft = self.soft.lock();
         if soft.presence.leader_since() != since {
@@ -100,7 +105,7 @@
     pub operator_address: SocketAddr,
     /// Address on which health and metrics are served.
     pub admin_address: SocketAddr,
-    whole: JoinHandle<anyhow::Result<()>>,
+    daemon_task: JoinHandle<anyhow::Result<()>>,
 }
 
 impl RunningControl {
@@ -110,7 +115,7 @@
     ///
     /// Fails if the process could not complete its start or had to stop, for example because its disk failed.
     pub async fn finished(self) -> anyhow::Result<()> {
-        self.whole.await.context("control failed")?
+        self.daemon_task.await.context("control task failed")?
     }
 }
 
@@ -133,7 +138,10 @@
 pub fn form_group(settings: &ControlSettings, peer_address: SocketAddr) -> anyhow::Result<()> {
     let mut folder = DataFolder::open(&settings.data_folder)?;
     if folder.identity()?.is_some() {
-        bail!("folder `{}` belongs to a group already", settings.data_folder.display());
+        bail!(
+            "data folder `{}` already belongs to a group",
+            settings.data_folder.display()
+        );
     }
     let (replica, disk) = (ReplicaId(1), DiskId(random_number()?));
     let host = settings.host.as_str().into();
@@ -175,7 +183,7 @@
     log: Logger,
 ) -> anyhow::Result<RunningControl> {
     let folder = DataFolder::open(&settings.data_folder)?;
-    let identity = open_identity(&folder)?;
+    let identity = load_or_create_identity(&folder)?;
     let token =
         ContentDigest::from_hex(&settings.operator_token_sha256).context("operator token digest is malformed")?;
     let listeners = ControlListeners {
@@ -188,7 +196,7 @@
     let admin_address = listeners.admin.local_addr()?;
     slog::info!(log, "control started"; "event" => event::STARTED,
         "peers" => %peer_address, "operators" => %operator_address, "admin" => %admin_address);
-    let starting = ControlStart {
+    let process = ControlStart {
         settings,
         folder,
         identity,
@@ -202,14 +210,14 @@
         peer_address,
         operator_address,
         admin_address,
-        whole: tokio::spawn(starting.run()),
+        daemon_task: tokio::spawn(process.run()),
     })
 }
 
 /// Returns the identity of the folder.
 ///
 /// An empty folder gets a random disk number, under which it then requests to be bound to a member of a group.
-fn open_identity(folder: &DataFolder) -> anyhow::Result<FolderIdentity> {
+fn load_or_create_identity(folder: &DataFolder) -> anyhow::Result<FolderIdentity> {
     if let Some(identity) = folder.identity()? {
         return Ok(identity);
     }
@@ -288,12 +296,12 @@
             spans,
             soft: Mutex::default(),
         });
-        let driving = spawn_driver(driver, stop.clone(), control.log.clone());
-        let tasks = serve(&control, token, listeners, &stop, page);
+        let driver_task = spawn_driver(driver, stop.clone(), control.log.clone());
+        let tasks = spawn_tasks(&control, token, listeners, &stop, page);
         tasks.wait().await;
         slog::info!(control.log, "control stopping"; "event" => event::STOPPING);
         control.group.input(GroupInput::Stop);
-        let outcome = driving.await.context("the driving thread failed")?;
+        let outcome = driver_task.await.context("the driver thread failed")?;
         slog::info!(control.log, "control stopped"; "event" => event::STOPPED);
         outcome
     }
@@ -325,7 +333,7 @@
     }
 }
 
-fn serve(
+fn spawn_tasks(
     control: &Arc<Control>,
     token: ContentDigest,
     listeners: ControlListeners,
--- a/crates/acacia-control/src/entry_session.rs
+++ b/crates/acacia-control/src/entry_session.rs
@@ -157,7 +157,7 @@
         None => renewal.whole = Some(state.config.clone()),
     }
     let now = boot_now();
-    let mut soft = control.soft();
+    let mut soft = control.soft_state();
     let row = PresenceRow {
         incarnation: lease.incarnation,
         version: lease.version,
@@ -169,7 +169,7 @@
     }
     soft.endpoints.forget_silent(now);
     renewal.shares = soft.grant_shares(now, &state, &lease.host, lease.demands);
-    renewal.endpoints = soft.changes_for(&state.entries, &lease.host, lease.endpoint_mark);
+    renewal.endpoints = soft.endpoint_changes_for(&state.entries, &lease.host, lease.endpoint_mark);
     renewal.endpoint_mark = soft.endpoints.revision();
     Ok(EntryAnswer::Renewed(renewal))
 }
--- a/crates/acacia-control/src/leader_tasks.rs
+++ b/crates/acacia-control/src/leader_tasks.rs
@@ -68,7 +68,7 @@
 fn deliver_orders(control: &Arc<Control>, client: &Arc<EndpointClient>) {
     let steps = {
         let state = control.group.read();
-        let soft = control.soft();
+        let soft = control.soft_state();
         plan_deliveries(boot_now(), &state.orders, soft.endpoints.table(), &soft.orders)
     };
     for step in steps {
@@ -78,7 +78,7 @@
                 address,
                 order,
             } => {
-                control.soft().orders.begin(order.number.0);
+                control.soft_state().orders.begin(order.number.0);
                 tokio::spawn(send_order(
                     Arc::clone(control),
                     Arc::clone(client),
@@ -118,7 +118,7 @@
 }
 
 fn record_unsettled(control: &Control, endpoint: &EndpointName, order: &OrderRow, reason: &str) {
-    control.soft().orders.end(order.number.0, boot_now());
+    control.soft_state().orders.end(order.number.0, boot_now());
     slog::warn!(control.log, "order unsettled"; "event" => event::ORDER_UNSETTLED,
         "endpoint" => endpoint.as_str(), "number" => order.number.0, "reason" => reason);
 }
@@ -129,7 +129,7 @@
         number: order.number,
     };
     if control.group.propose(command).await.is_ok() {
-        control.soft().orders.forget(order.number.0);
+        control.soft_state().orders.forget(order.number.0);
     }
 }
 
@@ -144,7 +144,7 @@
     let Some(window) = control.group.read().usage.pending().first().cloned() else {
         return;
     };
-    let mut soft = control.soft();
+    let mut soft = control.soft_state();
     if !soft.windows.may_send(window.window, boot_now()) {
         return;
     }
@@ -162,10 +162,10 @@
                 .group
                 .propose(ControlCommand::AcknowledgeWindow(window.window))
                 .await;
-            control.soft().windows.forget(window.window);
+            control.soft_state().windows.forget(window.window);
         }
         other => {
-            control.soft().windows.end(window.window, boot_now());
+            control.soft_state().windows.end(window.window, boot_now());
             slog::warn!(control.log, "usage window delayed"; "event" => event::WINDOW_DELAYED,
                 "window" => window.window, "reason" => ?other);
         }
--- a/crates/acacia-control/src/operator_api.rs
+++ b/crates/acacia-control/src/operator_api.rs
@@ -237,7 +237,7 @@
         self.control.group.confirm().await?;
         let known = self
             .control
-            .soft()
+            .soft_state()
             .endpoints
             .table()
             .get(&endpoint)
@@ -285,7 +285,7 @@
         let state = self.control.group.read();
         let behind = self
             .control
-            .soft()
+            .soft_state()
             .presence
             .lagging_hosts(version, boot_now(), &state.entries);
         let hosts: Vec<_> = behind.iter().map(HostName::as_str).collect();
@@ -296,7 +296,7 @@
         self.control.group.confirm().await?;
         let state = self.control.group.read();
         let now = boot_now();
-        let soft = self.control.soft();
+        let soft = self.control.soft_state();
         let entries = state.entries.rows().map(|(host, row)| {
             json!({
                 "host": host.as_str(),
