--- a/crates/acacia-control/src/joining.rs
+++ b/crates/acacia-control/src/joining.rs
@@ -82,7 +82,10 @@
         writer.send(Frame::IdentityRequest(request)).await?;
         match reader.next().await? {
             Some(Frame::IdentityReply(reply)) => Ok(reply),
-            _ => Err(std::io::ErrorKind::InvalidData.into()),
+            _ => Err(std::io::Error::new(
+                std::io::ErrorKind::InvalidData,
+                "no identity reply was received",
+            )),
         }
     };
     tokio::time::timeout(REQUEST_TIMEOUT, exchange).await?
--- a/crates/acacia-control/src/leader_tasks.rs
+++ b/crates/acacia-control/src/leader_tasks.rs
@@ -206,7 +206,7 @@
             .await?;
         let (parts, incoming) = answer.response.into_parts();
         let whole = read_body(incoming, MAX_ANSWER_BYTES, EXCHANGE_TIMEOUT).await;
-        whole.map_err(|refusal| anyhow::anyhow!("answer was not whole: {refusal:?}"))?;
+        whole.map_err(|refusal| anyhow::anyhow!("answer body could not be read: {refusal:?}"))?;
         anyhow::Ok(parts.status)
     };
     tokio::time::timeout(EXCHANGE_TIMEOUT, exchange)
--- a/crates/acacia-control/src/peer_listener.rs
+++ b/crates/acacia-control/src/peer_listener.rs
@@ -65,7 +65,10 @@
         Some(Frame::Hello(Hello { replica: 0, .. })) => serve_entry(reader, writer, control).await,
         Some(Frame::Hello(hello)) => serve_replica(reader, &control.group, hello).await,
         Some(Frame::IdentityRequest(request)) => answer_identity(writer, control, request).await,
-        _ => Err(std::io::ErrorKind::InvalidData.into()),
+        _ => Err(std::io::Error::new(
+            std::io::ErrorKind::InvalidData,
+            "received neither a hello nor an identity request",
+        )),
     }
 }
 
@@ -91,7 +94,10 @@
     });
     while let Some(frame) = reader.next().await? {
         let Frame::Message(message) = frame else {
-            return Err(std::io::ErrorKind::InvalidData.into());
+            return Err(std::io::Error::new(
+                std::io::ErrorKind::InvalidData,
+                "frame from a replica is not a replica message",
+            ));
         };
         match message_from_wire(message) {
             Ok(message) if message.from == replica => {
