--- a/crates/acacia-control/src/serving/duties.rs
+++ b/crates/acacia-control/src/serving/duties.rs
@@ -35,9 +35,9 @@
 /// Time for which the kernel retries to deliver data that was written under the lease (`TCP_USER_TIMEOUT`).
 const USER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Maximum size of an answer in bytes.
-const LARGEST_ANSWER: usize = 256 * 1024;
+const MAX_ANSWER_BYTES: usize = 256 * 1024;
 /// Time that a new holder waits in addition to the duty lease, within which the duties must not change hands twice.
-const TURN_MARGIN: Duration = Duration::from_millis(200);
+const HANDOVER_MARGIN: Duration = Duration::from_millis(200);
 
 /// HTTP client that sends only while this process has the leader lease.
 #[derive(Clone, Debug)]
@@ -76,7 +76,7 @@
         let exchange = async {
             let sent = self.client.send(boot_now(), address, ConnectionChoice::Fresh, request);
             let (parts, incoming) = sent.await?.response.into_parts();
-            let whole = read_body(incoming, LARGEST_ANSWER, ANSWER_TIMEOUT).await;
+            let whole = read_body(incoming, MAX_ANSWER_BYTES, ANSWER_TIMEOUT).await;
             let body = whole.map_err(|refusal| anyhow::anyhow!("answer body could not be read: {refusal:?}"))?;
             anyhow::Ok((parts.status, body))
         };
@@ -88,24 +88,24 @@
 
 /// One tick of the duty holder, with everything that the duties need during it.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct DutyTurn<'holder> {
+pub(super) struct DutyContext<'holder> {
     pub(super) now: BootTime,
     pub(super) hub: &'holder Arc<ServingHub>,
     pub(super) client: &'holder DutyClient,
     pub(super) stamp: &'holder DutyStamp,
 }
 
-/// Owned copy of a [`DutyTurn`] for tasks that continue after the tick.
+/// Owned copy of a [`DutyContext`] for tasks that continue after the tick.
 #[derive(Clone, Debug)]
-pub(super) struct OwnedTurn {
+pub(super) struct OwnedDutyContext {
     pub(super) hub: Arc<ServingHub>,
     pub(super) client: DutyClient,
     pub(super) stamp: DutyStamp,
 }
 
-impl DutyTurn<'_> {
-    pub(super) fn for_task(self) -> OwnedTurn {
-        OwnedTurn {
+impl DutyContext<'_> {
+    pub(super) fn to_owned_context(self) -> OwnedDutyContext {
+        OwnedDutyContext {
             hub: Arc::clone(self.hub),
             client: self.client.clone(),
             stamp: self.stamp.clone(),
@@ -113,7 +113,7 @@
     }
 }
 
-impl OwnedTurn {
+impl OwnedDutyContext {
     /// Sends an order to the platform. Returns true if the platform has accepted it.
     pub(super) async fn send_pool_order(&self, order: &PoolOrder) -> bool {
         let Some(address) = self.hub.settings.platform_address else {
@@ -140,20 +140,20 @@
             () = stop.cancelled() => return,
             () = tokio::time::sleep(DUTY_INTERVAL) => {}
         }
-        let Some(since) = hub.group.status().borrow().leading_since else {
+        let Some(leading_since) = hub.group.status().borrow().leading_since else {
             continue;
         };
         if !hub.group.may_act(boot_now()) {
             continue;
         }
-        if let Some(stamp) = assume(&hub).await {
-            hold_duties(&hub, &client, &stamp, since, &stop).await;
+        if let Some(stamp) = assume_duties(&hub).await {
+            run_as_holder(&hub, &client, &stamp, leading_since, &stop).await;
         }
     }
 }
 
 /// Commits the assignment of the duties to this host, and returns the new fencing number, or `None` if that failed.
-async fn assume(hub: &ServingHub) -> Option<DutyStamp> {
+async fn assume_duties(hub: &ServingHub) -> Option<DutyStamp> {
     let holder = hub.settings.host.as_str().into();
     let command = ControlCommand::Serving(ServingCommand::AssumeDuties { holder });
     let outcome = hub.group.propose(command).await;
@@ -167,19 +167,19 @@
     })
 }
 
-/// Carries out the duties as long as this process leads without interruption since `since`, or until `stop`
+/// Carries out the duties as long as this process leads without interruption since `leading_since`, or until `stop`
 /// is cancelled.
-async fn hold_duties(
+async fn run_as_holder(
     hub: &Arc<ServingHub>,
     client: &DutyClient,
     stamp: &DutyStamp,
-    since: BootTime,
+    leading_since: BootTime,
     stop: &CancellationToken,
 ) {
     // The very first holder has no predecessor. Any other waits for the duty lease, so that the duties cannot change
     // hands twice within it.
     let wait = if stamp.fence.0 > 1 {
-        hub.settings.duty_lease + TURN_MARGIN
+        hub.settings.duty_lease + HANDOVER_MARGIN
     } else {
         Duration::ZERO
     };
@@ -192,21 +192,21 @@
             () = tokio::time::sleep(DUTY_INTERVAL) => {}
         }
         let now = boot_now();
-        if hub.group.status().borrow().leading_since != Some(since) {
+        if hub.group.status().borrow().leading_since != Some(leading_since) {
             slog::info!(hub.log, "duties left"; "event" => event::DUTIES_LEFT, "fence" => stamp.fence.0);
             return;
         }
-        if !hub.group.may_act(now) || now.since(since) < wait {
+        if !hub.group.may_act(now) || now.since(leading_since) < wait {
             continue;
         }
-        let turn = DutyTurn {
+        let context = DutyContext {
             now,
             hub,
             client,
             stamp,
         };
-        windows.tick(&turn).await;
-        pools.tick(&turn, &mut stages);
-        stages.tick(&turn);
+        windows.tick(&context).await;
+        pools.tick(&context, &mut stages);
+        stages.tick(&context);
     }
 }
--- a/crates/acacia-control/src/serving/engine_orders.rs
+++ b/crates/acacia-control/src/serving/engine_orders.rs
@@ -17,7 +17,7 @@
 use hyper::StatusCode;
 use parking_lot::Mutex;
 
-use super::duties::{DutyTurn, OwnedTurn};
+use super::duties::{DutyContext, OwnedDutyContext};
 
 /// Time for which an order without an answer may still be carried out. The engine gets no other order meanwhile.
 const UNANSWERED_ORDER_TIME: Duration = Duration::from_secs(14);
@@ -98,7 +98,7 @@
     /// Orders an engine to change its stage, unless an earlier order to it is open.
     pub(super) fn issue(
         &self,
-        turn: &DutyTurn<'_>,
+        context: &DutyContext<'_>,
         change: &StageChange,
         endpoint: &ServingEndpoint,
         switch: Duration,
@@ -110,14 +110,14 @@
         let order = OpenOrder {
             birth: endpoint.birth,
             stage: change.stage,
-            resting_until: turn.now + switch + START_DELAY,
-            open_until: turn.now + UNANSWERED_ORDER_TIME,
+            resting_until: context.now + switch + START_DELAY,
+            open_until: context.now + UNANSWERED_ORDER_TIME,
         };
         open.insert(change.endpoint.clone(), order);
-        let (turn, open) = (turn.for_task(), Arc::clone(&self.open));
+        let (context, open) = (context.to_owned_context(), Arc::clone(&self.open));
         let (change, address) = (change.clone(), endpoint.address);
         tokio::spawn(async move {
-            let open_until = match send_order(&turn, &change, address).await {
+            let open_until = match send_order(&context, &change, address).await {
                 OrderOutcome::Accepted => boot_now() + switch + DRAIN_TIME,
                 OrderOutcome::Refused => boot_now() + REFUSED_RETRY_DELAY,
                 OrderOutcome::Open => return,
@@ -141,8 +141,8 @@
 
 /// Asks the engine how many orders it has accepted, and makes the order conditional on that number. A delayed copy then
 /// fails instead of undoing a newer order.
-async fn send_order(turn: &OwnedTurn, change: &StageChange, address: SocketAddr) -> OrderOutcome {
-    let OwnedTurn { hub, client, stamp } = turn;
+async fn send_order(context: &OwnedDutyContext, change: &StageChange, address: SocketAddr) -> OrderOutcome {
+    let OwnedDutyContext { hub, client, stamp } = context;
     let reported = client.send(address, hub.platform.report_call()).await;
     let report = reported.ok().and_then(|(_, body)| hub.platform.read_report(&body));
     let Some(report) = report.filter(|report| !report.busy) else {
--- a/crates/acacia-control/src/serving/pool_orders.rs
+++ b/crates/acacia-control/src/serving/pool_orders.rs
@@ -17,7 +17,7 @@
 use parking_lot::Mutex;
 
 use super::codec::PoolOrder;
-use super::duties::DutyTurn;
+use super::duties::DutyContext;
 use super::hub::ServingHub;
 use super::stage_orders::StageOrders;
 
@@ -40,37 +40,37 @@
 
 impl PoolOrders {
     /// Plans the pool of each service and issues the orders that it needs.
-    pub(super) fn tick(&mut self, turn: &DutyTurn<'_>, stages: &mut StageOrders) {
-        let now = turn.now;
+    pub(super) fn tick(&mut self, context: &DutyContext<'_>, stages: &mut StageOrders) {
+        let now = context.now;
         if now < self.next_plan {
             return;
         }
         self.next_plan = now + PLAN_INTERVAL;
-        let Some(config) = turn.hub.config() else { return };
-        let is_registry_complete = turn.hub.is_registry_complete(now);
+        let Some(config) = context.hub.config() else { return };
+        let is_registry_complete = context.hub.is_registry_complete(now);
         for (service, spec) in &config.services {
             let Some(pool) = &spec.pool else { continue };
-            let measure = take_prefill_load(turn.hub, service);
+            let measure = take_prefill_load(context.hub, service);
             let need = self.needs.entry(service.clone()).or_default();
             need.measure(now, measure, stages.wanted_decode_engines(service));
-            self.plan_service(turn, stages, service, pool, is_registry_complete);
+            self.plan_service(context, stages, service, pool, is_registry_complete);
         }
     }
 
     fn plan_service(
         &mut self,
-        turn: &DutyTurn<'_>,
+        context: &DutyContext<'_>,
         stages: &mut StageOrders,
         service: &ServiceName,
         pool: &PoolSpec,
         is_registry_complete: bool,
     ) {
-        let now = turn.now;
-        let present = present_pools(turn.hub, service);
+        let now = context.now;
+        let present = present_pools(context.hub, service);
         let total: u32 = present.values().map(|pool| pool.total()).sum();
         self.record_present(service, &present);
         let (agreed, refused) = (self.accepted_counts(service), self.refused_domains(service));
-        let has_calls = turn.hub.soft_state().has_calls();
+        let has_calls = context.hub.soft_state().has_calls();
         let need = self.needs.entry(service.clone()).or_default();
         // Without this subtraction, reclaimable endpoints that this holder has ordered would count as started by the
         // operators.
@@ -102,9 +102,9 @@
             // Engines that the platform is about to remove need no change of stage.
             stages.suspend(now);
         }
-        slog::debug!(turn.hub.log, "pool planned"; "event" => event::POOL_PLANNED, "service" => service.as_str(),
+        slog::debug!(context.hub.log, "pool planned"; "event" => event::POOL_PLANNED, "service" => service.as_str(),
             "needed" => view.needed, "serving" => view.serving, "idle" => view.is_idle,
-            "readers" => readers, "pace_ms" => turn.hub.soft_state().prefill_ms_per_token(service),
+            "readers" => readers, "pace_ms" => context.hub.soft_state().prefill_ms_per_token(service),
             "wanted" => ?wanted, "present" => ?view.present);
         let wanted = fill_gap(pool, &wanted, &view);
         for change in plan_pool_changes(pool, &wanted, &view) {
@@ -114,7 +114,7 @@
                 desired: change.desired,
                 reclaimable: change.reclaimable,
             };
-            if self.issue(turn, pool, order) && change.gives_back {
+            if self.issue(context, pool, order) && change.gives_back {
                 self.next_release = now + RELEASE_PAUSE;
                 stages.suspend(now);
             }
@@ -148,20 +148,20 @@
     }
 
     /// Issues an order unless the same one is still pending. Returns true if it was issued.
-    fn issue(&self, turn: &DutyTurn<'_>, pool: &PoolSpec, order: PoolOrder) -> bool {
+    fn issue(&self, context: &DutyContext<'_>, pool: &PoolSpec, order: PoolOrder) -> bool {
         let key = (order.service.clone(), order.domain.clone(), order.reclaimable);
         {
             let mut issued = self.issued.lock();
             let previous = issued.get(&key);
-            if previous.is_some_and(|previous| previous.is_pending(turn.now, order.desired)) {
+            if previous.is_some_and(|previous| previous.is_pending(context.now, order.desired)) {
                 return false;
             }
-            let issued_order = IssuedOrder::issue(turn.now, order.desired, pool.boot_time, previous);
+            let issued_order = IssuedOrder::issue(context.now, order.desired, pool.boot_time, previous);
             issued.insert(key.clone(), issued_order);
         }
-        let (turn, issued) = (turn.for_task(), Arc::clone(&self.issued));
+        let (context, issued) = (context.to_owned_context(), Arc::clone(&self.issued));
         tokio::spawn(async move {
-            let is_accepted = turn.send_pool_order(&order).await;
+            let is_accepted = context.send_pool_order(&order).await;
             if let Some(issued) = issued.lock().get_mut(&key) {
                 issued.record_answer(boot_now(), is_accepted);
             }
--- a/crates/acacia-control/src/serving/stage_orders.rs
+++ b/crates/acacia-control/src/serving/stage_orders.rs
@@ -11,7 +11,7 @@
 use acaciabay::core::serving::stream_peak::{StreamDemand, StreamPeak};
 use acaciabay::ops::plan_stages::{StageWork, plan_stages, wanted_decoders};
 
-use super::duties::DutyTurn;
+use super::duties::DutyContext;
 use super::engine_orders::EngineOrders;
 
 /// Interval at which stages are planned.
@@ -46,16 +46,16 @@
 
 impl StageOrders {
     /// Plans the stages of each service's engines and orders the changes.
-    pub(super) fn tick(&mut self, turn: &DutyTurn<'_>) {
-        let now = turn.now;
-        if now < self.next_plan.max(self.suspended_until) || !turn.hub.is_registry_complete(now) {
+    pub(super) fn tick(&mut self, context: &DutyContext<'_>) {
+        let now = context.now;
+        if now < self.next_plan.max(self.suspended_until) || !context.hub.is_registry_complete(now) {
             return;
         }
         self.next_plan = now + PLAN_INTERVAL;
-        let Some(config) = turn.hub.config() else { return };
+        let Some(config) = context.hub.config() else { return };
         for (service, spec) in &config.services {
             if let Some(engine) = &spec.engine {
-                self.plan_service(turn, service, engine);
+                self.plan_service(context, service, engine);
             }
         }
     }
@@ -87,9 +87,9 @@
         u32::try_from(self.orders.resting(now).len()).unwrap_or(u32::MAX)
     }
 
-    fn plan_service(&mut self, turn: &DutyTurn<'_>, service: &ServiceName, spec: &EngineSpec) {
-        let now = turn.now;
-        let (reported, present, is_idle) = observe_service(turn, service);
+    fn plan_service(&mut self, context: &DutyContext<'_>, service: &ServiceName, spec: &EngineSpec) {
+        let now = context.now;
+        let (reported, present, is_idle) = observe_service(context, service);
         let has_removed = self.orders.remove_settled(now, &reported);
         let engines: Vec<EngineRow> = reported
             .into_iter()
@@ -130,16 +130,16 @@
             changes.retain(|change| change.stage == EngineStage::Decode);
         }
         for change in &changes {
-            slog::info!(turn.hub.log, "stage change planned"; "event" => event::STAGE_PLANNED,
+            slog::info!(context.hub.log, "stage change planned"; "event" => event::STAGE_PLANNED,
                 "service" => service.as_str(), "endpoint" => change.endpoint.as_str(), "stage" => ?change.stage,
                 "engines" => rows.len(), "makers" => decode_engines, "wanted" => wanted,
                 "streams" => demand.streams, "held_tokens" => demand.held_tokens, "readers" => stages.prefill_engines);
             if let Some((_, endpoint)) = engines.iter().find(|(name, _)| *name == change.endpoint) {
-                self.orders.issue(turn, change, endpoint, spec.stage_switch_time);
+                self.orders.issue(context, change, endpoint, spec.stage_switch_time);
             }
         }
         if has_removed || !changes.is_empty() {
-            turn.hub.broadcast_resting(self.orders.resting(now));
+            context.hub.broadcast_resting(self.orders.resting(now));
         }
     }
 }
@@ -150,9 +150,9 @@
 
 /// Returns the engines of a service as reported, the demand of the streams that they decode, and true if no call of any
 /// service runs.
-fn observe_service(turn: &DutyTurn<'_>, service: &ServiceName) -> (Vec<EngineRow>, StreamDemand, bool) {
-    let soft = turn.hub.soft_state();
-    let ready = soft.registry.ready(turn.now, service).into_iter();
+fn observe_service(context: &DutyContext<'_>, service: &ServiceName) -> (Vec<EngineRow>, StreamDemand, bool) {
+    let soft = context.hub.soft_state();
+    let ready = soft.registry.ready(context.now, service).into_iter();
     let engines: Vec<EngineRow> = ready
         .filter(|(_, endpoint)| endpoint.stage.is_some())
         .map(|(name, endpoint)| (name.clone(), endpoint.clone()))
--- a/crates/acacia-control/src/serving/usage_windows.rs
+++ b/crates/acacia-control/src/serving/usage_windows.rs
@@ -14,7 +14,7 @@
 use hyper::StatusCode;
 use tokio::sync::oneshot;
 
-use super::duties::{DutyTurn, OwnedTurn};
+use super::duties::{DutyContext, OwnedDutyContext};
 use super::hub::ServingHub;
 
 /// Minimum time from the start of one attempt to send a window to the next attempt.
@@ -29,23 +29,23 @@
 
 impl UsageWindows {
     /// Commits new counts, seals the windows that are due, and sends the oldest one that the platform has not accepted.
-    pub(super) async fn tick(&mut self, turn: &DutyTurn<'_>) {
-        commit_counts(turn.hub).await;
-        seal_due_windows(turn.hub).await;
-        self.send_oldest(turn);
+    pub(super) async fn tick(&mut self, context: &DutyContext<'_>) {
+        commit_counts(context.hub).await;
+        seal_due_windows(context.hub).await;
+        self.send_oldest(context);
     }
 
-    fn send_oldest(&mut self, turn: &DutyTurn<'_>) {
+    fn send_oldest(&mut self, context: &DutyContext<'_>) {
         if let Some(attempt) = &mut self.attempt {
             if attempt.try_recv() == Err(oneshot::error::TryRecvError::Empty) {
                 return;
             }
             self.attempt = None;
         }
-        if turn.now < self.next_send {
+        if context.now < self.next_send {
             return;
         }
-        let oldest = turn
+        let oldest = context
             .hub
             .group
             .read()
@@ -56,10 +56,10 @@
         let Some((window, counts)) = oldest else { return };
         let (done, attempt) = oneshot::channel();
         self.attempt = Some(attempt);
-        self.next_send = turn.now + MIN_SEND_INTERVAL;
-        let turn = turn.for_task();
+        self.next_send = context.now + MIN_SEND_INTERVAL;
+        let context = context.to_owned_context();
         tokio::spawn(async move {
-            deliver(&turn, window, &counts).await;
+            deliver(&context, window, &counts).await;
             // If the sender is dropped instead, the next tick also treats the attempt as ended.
             let _ended = done.send(());
         });
@@ -105,8 +105,8 @@
     }
 }
 
-async fn deliver(turn: &OwnedTurn, window: WindowNumber, counts: &CustomerCounts) {
-    let OwnedTurn { hub, client, stamp } = turn;
+async fn deliver(context: &OwnedDutyContext, window: WindowNumber, counts: &CustomerCounts) {
+    let OwnedDutyContext { hub, client, stamp } = context;
     let Some(address) = hub.settings.platform_address else {
         return;
     };
