--- a/crates/acacia-control/src/serving/control_http.rs
+++ b/crates/acacia-control/src/serving/control_http.rs
@@ -18,19 +18,19 @@
 use super::hub::ServingHub;
 
 /// Maximum size of a body in bytes. It allows for a configuration with thousands of routes.
-const LARGEST_BODY: usize = 8 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 /// Time limit for receiving a body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Answers one call.
 pub(super) async fn answer(hub: Arc<ServingHub>, request: Request<Incoming>) -> Response<ResponseBody> {
     let (parts, body) = request.into_parts();
-    let answer = match read_body(body, LARGEST_BODY, BODY_TIMEOUT).await {
+    let answer = match read_body(body, MAX_BODY_BYTES, BODY_TIMEOUT).await {
         Ok(body) => match hub.codec.read_call(&parts, &body) {
             ControlCall::PutConfig => put_config(&hub, body).await,
             ControlCall::ReadConfig => read_config(&hub).await,
-            ControlCall::Report { name, endpoint } => take_report(&hub, &name, endpoint),
-            ControlCall::Leave { name, birth } => take_leave(&hub, &name, birth),
+            ControlCall::Report { name, endpoint } => handle_report(&hub, &name, endpoint),
+            ControlCall::Leave { name, birth } => handle_leave(&hub, &name, birth),
             ControlCall::BadReport(reason) => {
                 slog::warn!(hub.log, "malformed endpoint report refused"; "event" => event::REPORT_REFUSED,
                     "path" => parts.uri.path(), "reason" => &reason);
@@ -38,7 +38,7 @@
             }
             ControlCall::Unknown => ControlAnswer::NotFound,
         },
-        Err(BodyRefusal::TooLarge) => ControlAnswer::Invalid(format!("body exceeds {LARGEST_BODY} bytes")),
+        Err(BodyRefusal::TooLarge) => ControlAnswer::Invalid(format!("body exceeds {MAX_BODY_BYTES} bytes")),
         Err(BodyRefusal::TimedOut | BodyRefusal::Broken) => {
             ControlAnswer::Invalid("body did not arrive whole".to_owned())
         }
@@ -46,20 +46,20 @@
     hub.codec.write_answer(parts.uri.path(), answer)
 }
 
-fn take_report(hub: &ServingHub, name: &EndpointName, endpoint: ServingEndpoint) -> ControlAnswer {
+fn handle_report(hub: &ServingHub, name: &EndpointName, endpoint: ServingEndpoint) -> ControlAnswer {
     if endpoint.phase != EndpointPhase::Ready && is_cut_off(hub) {
-        return CUT_OFF;
+        return CUT_OFF_FROM_GROUP;
     }
     hub.record_report(name, endpoint);
     ControlAnswer::Done
 }
 
-fn take_leave(hub: &ServingHub, name: &EndpointName, birth: Option<EndpointBirth>) -> ControlAnswer {
+fn handle_leave(hub: &ServingHub, name: &EndpointName, birth: Option<EndpointBirth>) -> ControlAnswer {
     if is_cut_off(hub) {
-        return CUT_OFF;
+        return CUT_OFF_FROM_GROUP;
     }
     if !hub.has_endpoint(name) {
-        return UNKNOWN;
+        return UNKNOWN_ENDPOINT;
     }
     hub.record_leave(name, birth);
     ControlAnswer::Done
@@ -69,11 +69,11 @@
 /// now, or may be cut off from the replicas that get the endpoint's reports. This process cannot tell the entries. If
 /// it acknowledged the call, entries would send calls to the endpoint until it is gone. The endpoint can instead ask a
 /// replica that knows it.
-const UNKNOWN: ControlAnswer = ControlAnswer::Unavailable("this replica does not know the endpoint");
+const UNKNOWN_ENDPOINT: ControlAnswer = ControlAnswer::Unavailable("this replica does not know the endpoint");
 
 /// The answer to an endpoint that drains or deregisters, if this process is cut off from the group. The entries would
 /// not be told, and would send calls to the endpoint until it is gone. It can instead tell another replica.
-const CUT_OFF: ControlAnswer = ControlAnswer::Unavailable("this replica knows no leader");
+const CUT_OFF_FROM_GROUP: ControlAnswer = ControlAnswer::Unavailable("this replica knows no leader");
 
 fn is_cut_off(hub: &ServingHub) -> bool {
     hub.group.status().borrow().leader.is_none()
@@ -93,7 +93,7 @@
         return refuse_config(hub, Some(config.number), &findings);
     }
     if hub.group.confirm().await.is_err() {
-        return elsewhere(hub);
+        return redirect_to_leader(hub);
     }
     let held = hub.group.read().serving.config_number;
     if config.number <= held {
@@ -134,7 +134,7 @@
 /// have an older configuration.
 async fn read_config(hub: &ServingHub) -> ControlAnswer {
     if hub.group.confirm().await.is_err() {
-        return elsewhere(hub);
+        return redirect_to_leader(hub);
     }
     let state = hub.group.read();
     if state.serving.config_number == ConfigNumber(0) {
@@ -143,7 +143,7 @@
     ControlAnswer::Document(state.serving.document.clone())
 }
 
-fn elsewhere(hub: &ServingHub) -> ControlAnswer {
+fn redirect_to_leader(hub: &ServingHub) -> ControlAnswer {
     match hub.leader_control_address() {
         Some(address) => ControlAnswer::Elsewhere(address),
         None => ControlAnswer::Unavailable("no leader is known"),
