--- a/crates/acacia-control/src/serving/duties.rs
+++ b/crates/acacia-control/src/serving/duties.rs
@@ -193,7 +193,8 @@
         }
         let now = boot_now();
         if hub.group.status().borrow().leading_since != Some(leading_since) {
-            slog::info!(hub.log, "duties left"; "event" => event::DUTIES_LEFT, "fence" => stamp.fence.0);
+            slog::info!(hub.log, "duties ended because leadership changed"; "event" => event::DUTIES_LEFT,
+                "fence" => stamp.fence.0);
             return;
         }
         if !hub.group.may_act(now) || now.since(leading_since) < wait {
--- a/crates/acacia-control/src/serving/session.rs
+++ b/crates/acacia-control/src/serving/session.rs
@@ -19,7 +19,7 @@
 use super::hub::ServingHub;
 use super::renewals::{SentState, answer_renewal};
 
-/// Interval of keepalive messages. If none arrives, the other side knows that the connection is dead.
+/// Interval of keepalive messages, from whose absence the other side detects a dead connection.
 pub(super) const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(500);
 /// Maximum number of frames that are queued for one connection.
 const MAX_QUEUED_FRAMES: usize = 256;
