--- a/crates/acacia-control/src/serving/hub.rs
+++ b/crates/acacia-control/src/serving/hub.rs
@@ -41,7 +41,7 @@
 pub(super) struct EntryState {
     pub(super) heard_at: BootTime,
     pub(super) domain: DomainName,
-    pub(super) uses: Vec<(EndpointName, EndpointWork)>,
+    pub(super) work: Vec<(EndpointName, EndpointWork)>,
     /// Endpoints that the entry has found silent.
     pub(super) silent: Vec<EndpointName>,
     /// Prefill time per token in milliseconds, as measured by the entry.
@@ -67,7 +67,7 @@
     pub(super) uncommitted_counts: Vec<GatheredRow>,
     pub(super) traffic: BTreeMap<ServiceName, ServiceTraffic>,
     /// Prompt parts that engines have cached, as announced by entries.
-    pub(super) kept: KeptLog,
+    pub(super) cached_parts: KeptLog,
     config: Option<Arc<ServingConfig>>,
 }
 
@@ -96,7 +96,7 @@
 
     /// Returns true if any entry has a running call at an endpoint.
     pub(super) fn has_calls(&self) -> bool {
-        self.entries.values().any(|row| !row.uses.is_empty())
+        self.entries.values().any(|row| !row.work.is_empty())
     }
 
     /// Returns the endpoints that all entries should avoid.
@@ -109,9 +109,9 @@
     pub(super) fn work_except(&self, host: Option<&HostName>) -> BTreeMap<EndpointName, EndpointWork> {
         let mut sums: BTreeMap<EndpointName, EndpointWork> = BTreeMap::new();
         for (_, row) in self.entries.iter().filter(|(name, _)| Some(*name) != host) {
-            for (endpoint, work) in &row.uses {
+            for (endpoint, own) in &row.work {
                 let sum = sums.entry(endpoint.clone()).or_default();
-                *sum = sum.plus(*work);
+                *sum = sum.plus(*own);
             }
         }
         sums
--- a/crates/acacia-control/src/serving/renewals.rs
+++ b/crates/acacia-control/src/serving/renewals.rs
@@ -53,7 +53,7 @@
         content,
         entries,
         others,
-        kept: exchange_cached_parts(hub, &request, &mut sent.kept),
+        kept: exchange_cached_parts(hub, &request, &mut sent.cached_parts_position),
         silent: silent_endpoint_names(hub),
     })
 }
@@ -69,16 +69,16 @@
 #[derive(Debug, Default)]
 pub(super) struct SentState {
     config: ConfigSender,
-    kept: LogPlace,
+    cached_parts_position: LogPlace,
 }
 
 /// Logs the cached prompt parts that the entry announces, and returns those that were logged since its last renewal.
 fn exchange_cached_parts(hub: &ServingHub, request: &RenewServing, position: &mut LogPlace) -> Vec<KeptPart> {
     let mut soft = hub.soft_state();
     for kept in &request.kept {
-        soft.kept.push(kept_from_wire(kept));
+        soft.cached_parts.push(kept_from_wire(kept));
     }
-    let (rows, next) = soft.kept.since(*position);
+    let (rows, next) = soft.cached_parts.since(*position);
     *position = next;
     rows.map(kept_to_wire).collect()
 }
@@ -161,7 +161,7 @@
         traffic.output_tokens += demand.output_tokens;
         traffic.wait_us = traffic.wait_us.max(demand.wait_us);
     }
-    let uses = request.uses.iter().map(use_from_wire).collect();
+    let work = request.uses.iter().map(use_from_wire).collect();
     let known = soft.entries.remove(&host);
     // A renewal names only services with calls since the last one, so the other paces are kept.
     let mut paces = known.map(|row| row.paces).unwrap_or_default();
@@ -170,7 +170,7 @@
     let state = EntryState {
         heard_at: now,
         domain: hello.domain.as_str().into(),
-        uses,
+        work,
         silent: request.silent.iter().map(|name| name.as_str().into()).collect(),
         paces,
     };
