--- a/crates/acacia-control/src/serving/mod.rs
+++ b/crates/acacia-control/src/serving/mod.rs
@@ -1,7 +1,7 @@
 //! The control process of deployments that route calls by host and path. It replicates the configuration, keeps the
 //! registry of endpoints from their own reports, and serves sessions with the entries.
 //!
-//! * `founding` creates the group or obtains a place in it; `peers` accepts connections from entries and replicas.
+//! * `bootstrap` creates the group or obtains a place in it; `peers` accepts connections from entries and replicas.
 //! * `hub` holds the state that the tasks share. `session` serves one entry or replica, `renewals` answers the lease
 //!   renewals of entries with configurations from `config_cache`, and `observer` receives the endpoint reports that
 //!   other replicas got.
@@ -11,12 +11,12 @@
 //!
 //! Only the two codecs know the format of the HTTP calls. The design is described in `docs/design/machines.md`.
 
+mod bootstrap;
 mod codec;
 mod config_cache;
 mod control_http;
 mod duties;
 mod engine_orders;
-mod founding;
 mod hub;
 mod observer;
 mod peers;
--- a/crates/acacia-control/src/serving/start.rs
+++ b/crates/acacia-control/src/serving/start.rs
@@ -19,10 +19,10 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
+use super::bootstrap::{SeedList, await_admission, load_or_create_identity, was_removed};
 use super::codec::{ControlCodec, PlatformCodec};
 use super::control_http;
 use super::duties::run_duties;
-use super::founding::{SeedList, await_admission, load_or_create_identity, was_removed};
 use super::hub::ServingHub;
 use super::observer::observe_replicas;
 use super::peers::serve_peers;
