--- a/crates/acacia-control/src/serving/control_http.rs
+++ b/crates/acacia-control/src/serving/control_http.rs
@@ -15,7 +15,7 @@
 use hyper::{Request, Response};
 
 use super::codec::{ControlAnswer, ControlCall};
-use super::hub::ServingHub;
+use super::shared::ControlShared;
 
 /// Maximum size of a body in bytes. It allows for a configuration with thousands of routes.
 const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
@@ -23,16 +23,16 @@
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Answers one call.
-pub(super) async fn answer(hub: Arc<ServingHub>, request: Request<Incoming>) -> Response<ResponseBody> {
+pub(super) async fn answer(shared: Arc<ControlShared>, request: Request<Incoming>) -> Response<ResponseBody> {
     let (parts, body) = request.into_parts();
     let answer = match read_body(body, MAX_BODY_BYTES, BODY_TIMEOUT).await {
-        Ok(body) => match hub.codec.read_call(&parts, &body) {
-            ControlCall::PutConfig => put_config(&hub, body).await,
-            ControlCall::ReadConfig => read_config(&hub).await,
-            ControlCall::Report { name, endpoint } => handle_report(&hub, &name, endpoint),
-            ControlCall::Leave { name, birth } => handle_leave(&hub, &name, birth),
+        Ok(body) => match shared.codec.read_call(&parts, &body) {
+            ControlCall::PutConfig => put_config(&shared, body).await,
+            ControlCall::ReadConfig => read_config(&shared).await,
+            ControlCall::Report { name, endpoint } => handle_report(&shared, &name, endpoint),
+            ControlCall::Leave { name, birth } => handle_leave(&shared, &name, birth),
             ControlCall::BadReport(reason) => {
-                slog::warn!(hub.log, "malformed endpoint report refused"; "event" => event::REPORT_REFUSED,
+                slog::warn!(shared.log, "malformed endpoint report refused"; "event" => event::REPORT_REFUSED,
                     "path" => parts.uri.path(), "reason" => &reason);
                 ControlAnswer::Invalid(reason)
             }
@@ -43,25 +43,25 @@
             ControlAnswer::Invalid("body did not arrive whole".to_owned())
         }
     };
-    hub.codec.write_answer(parts.uri.path(), answer)
+    shared.codec.write_answer(parts.uri.path(), answer)
 }
 
-fn handle_report(hub: &ServingHub, name: &EndpointName, endpoint: ServingEndpoint) -> ControlAnswer {
-    if endpoint.phase != EndpointPhase::Ready && is_cut_off(hub) {
+fn handle_report(shared: &ControlShared, name: &EndpointName, endpoint: ServingEndpoint) -> ControlAnswer {
+    if endpoint.phase != EndpointPhase::Ready && is_cut_off(shared) {
         return CUT_OFF_FROM_GROUP;
     }
-    hub.record_report(name, endpoint);
+    shared.record_report(name, endpoint);
     ControlAnswer::Done
 }
 
-fn handle_leave(hub: &ServingHub, name: &EndpointName, birth: Option<EndpointBirth>) -> ControlAnswer {
-    if is_cut_off(hub) {
+fn handle_leave(shared: &ControlShared, name: &EndpointName, birth: Option<EndpointBirth>) -> ControlAnswer {
+    if is_cut_off(shared) {
         return CUT_OFF_FROM_GROUP;
     }
-    if !hub.has_endpoint(name) {
+    if !shared.has_endpoint(name) {
         return UNKNOWN_ENDPOINT;
     }
-    hub.record_leave(name, birth);
+    shared.record_leave(name, birth);
     ControlAnswer::Done
 }
 
@@ -75,43 +75,43 @@
 /// not be told, and would send calls to the endpoint until it is gone. It can instead tell another replica.
 const CUT_OFF_FROM_GROUP: ControlAnswer = ControlAnswer::Unavailable("this replica knows no leader");
 
-fn is_cut_off(hub: &ServingHub) -> bool {
-    hub.group.status().borrow().leader.is_none()
+fn is_cut_off(shared: &ControlShared) -> bool {
+    shared.group.status().borrow().leader.is_none()
 }
 
 /// Puts a configuration in force.
 ///
 /// A configuration whose number is not above the current one is acknowledged but changes nothing. It is a copy of an
 /// accepted one or has been superseded, and a refusal would make the operator believe that an accepted change was lost.
-async fn put_config(hub: &ServingHub, document: Bytes) -> ControlAnswer {
-    let config = match hub.codec.read_config(&document) {
+async fn put_config(shared: &ControlShared, document: Bytes) -> ControlAnswer {
+    let config = match shared.codec.read_config(&document) {
         Ok(config) => config,
-        Err(findings) => return refuse_config(hub, None, &findings),
+        Err(findings) => return refuse_config(shared, None, &findings),
     };
     let findings = config.findings();
     if !findings.is_empty() {
-        return refuse_config(hub, Some(config.number), &findings);
+        return refuse_config(shared, Some(config.number), &findings);
     }
-    if hub.group.confirm().await.is_err() {
-        return redirect_to_leader(hub);
+    if shared.group.confirm().await.is_err() {
+        return redirect_to_leader(shared);
     }
-    let held = hub.group.read().serving.config_number;
+    let held = shared.group.read().serving.config_number;
     if config.number <= held {
-        slog::info!(hub.log, "configuration is not newer and was acknowledged without effect";
+        slog::info!(shared.log, "configuration is not newer and was acknowledged without effect";
             "event" => event::SERVING_CONFIG_OLD,
             "number" => config.number.0, "held" => held.0);
         return ControlAnswer::Done;
     }
     let number = config.number;
     let command = ServingCommand::PutConfig { number, document };
-    match hub.group.propose(ControlCommand::Serving(command)).await {
+    match shared.group.propose(ControlCommand::Serving(command)).await {
         Ok(CommandOutcome::Serving(ServingOutcome::Config(held))) => {
-            slog::info!(hub.log, "configuration accepted"; "event" => event::SERVING_CONFIG_ACCEPTED,
+            slog::info!(shared.log, "configuration accepted"; "event" => event::SERVING_CONFIG_ACCEPTED,
                 "number" => number.0, "held" => held.0);
             ControlAnswer::Done
         }
         Ok(outcome) => {
-            slog::error!(hub.log, "unexpected outcome of a configuration command"; "event" => event::MESSAGE_REFUSED,
+            slog::error!(shared.log, "unexpected outcome of a configuration command"; "event" => event::MESSAGE_REFUSED,
                 "outcome" => ?outcome);
             ControlAnswer::Unavailable("outcome is open")
         }
@@ -120,31 +120,31 @@
 }
 
 fn refuse_config(
-    hub: &ServingHub,
+    shared: &ControlShared,
     number: Option<ConfigNumber>,
     findings: &[acaciabay::core::serving::config::ConfigFinding],
 ) -> ControlAnswer {
     let lines: Vec<String> = findings.iter().map(ToString::to_string).collect();
-    slog::warn!(hub.log, "configuration refused"; "event" => event::SERVING_CONFIG_REFUSED,
+    slog::warn!(shared.log, "configuration refused"; "event" => event::SERVING_CONFIG_REFUSED,
         "number" => number.map(|number| number.0), "findings" => lines.join("; "));
     ControlAnswer::Invalid(lines.join("\n"))
 }
 
 /// Returns the configuration in force. Only a leader that a quorum has confirmed answers, since any other replica might
 /// have an older configuration.
-async fn read_config(hub: &ServingHub) -> ControlAnswer {
-    if hub.group.confirm().await.is_err() {
-        return redirect_to_leader(hub);
+async fn read_config(shared: &ControlShared) -> ControlAnswer {
+    if shared.group.confirm().await.is_err() {
+        return redirect_to_leader(shared);
     }
-    let state = hub.group.read();
+    let state = shared.group.read();
     if state.serving.config_number == ConfigNumber(0) {
         return ControlAnswer::Unavailable("there is no configuration yet");
     }
     ControlAnswer::Document(state.serving.document.clone())
 }
 
-fn redirect_to_leader(hub: &ServingHub) -> ControlAnswer {
-    match hub.leader_control_address() {
+fn redirect_to_leader(shared: &ControlShared) -> ControlAnswer {
+    match shared.leader_control_address() {
         Some(address) => ControlAnswer::Elsewhere(address),
         None => ControlAnswer::Unavailable("no leader is known"),
     }
--- a/crates/acacia-control/src/serving/duties.rs
+++ b/crates/acacia-control/src/serving/duties.rs
@@ -23,8 +23,8 @@
 use tokio_util::sync::CancellationToken;
 
 use super::codec::{DutyStamp, OutboundCall, PoolOrder};
-use super::hub::ServingHub;
 use super::pool_orders::PoolOrders;
+use super::shared::ControlShared;
 use super::stage_orders::StageOrders;
 use super::usage_windows::UsageWindows;
 
@@ -46,8 +46,8 @@
 }
 
 impl DutyClient {
-    fn new(hub: &ServingHub) -> Self {
-        let group = hub.group.clone();
+    fn new(shared: &ControlShared) -> Self {
+        let group = shared.group.clone();
         // Connections are not reused: data written to an old one might be delivered after data sent on a new one.
         let options = ClientOptions {
             user_timeout: USER_TIMEOUT,
@@ -90,7 +90,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DutyContext<'holder> {
     pub(super) now: BootTime,
-    pub(super) hub: &'holder Arc<ServingHub>,
+    pub(super) shared: &'holder Arc<ControlShared>,
     pub(super) client: &'holder DutyClient,
     pub(super) stamp: &'holder DutyStamp,
 }
@@ -98,7 +98,7 @@
 /// Owned copy of a [`DutyContext`] for tasks that continue after the tick.
 #[derive(Clone, Debug)]
 pub(super) struct OwnedDutyContext {
-    pub(super) hub: Arc<ServingHub>,
+    pub(super) shared: Arc<ControlShared>,
     pub(super) client: DutyClient,
     pub(super) stamp: DutyStamp,
 }
@@ -106,7 +106,7 @@
 impl DutyContext<'_> {
     pub(super) fn to_owned_context(self) -> OwnedDutyContext {
         OwnedDutyContext {
-            hub: Arc::clone(self.hub),
+            shared: Arc::clone(self.shared),
             client: self.client.clone(),
             stamp: self.stamp.clone(),
         }
@@ -116,15 +116,15 @@
 impl OwnedDutyContext {
     /// Sends an order to the platform. Returns true if the platform has accepted it.
     pub(super) async fn send_pool_order(&self, order: &PoolOrder) -> bool {
-        let Some(address) = self.hub.settings.platform_address else {
+        let Some(address) = self.shared.settings.platform_address else {
             return false;
         };
         let sent = self
             .client
-            .send(address, self.hub.platform.pool_call(&self.stamp, order))
+            .send(address, self.shared.platform.pool_call(&self.stamp, order))
             .await;
         let is_accepted = matches!(&sent, Ok((status, _)) if status.is_success());
-        slog::info!(self.hub.log, "pool order sent"; "event" => event::POOL_ORDERED,
+        slog::info!(self.shared.log, "pool order sent"; "event" => event::POOL_ORDERED,
             "service" => order.service.as_str(), "domain" => order.domain.as_str(),
             "reclaimable" => order.reclaimable, "desired" => order.desired, "fence" => self.stamp.fence.0,
             "accepted" => is_accepted, "answer" => ?sent.map(|(status, _)| status));
@@ -133,36 +133,36 @@
 }
 
 /// Takes and carries out the duties whenever this process leads, until `stop` is cancelled.
-pub(super) async fn run_duties(hub: Arc<ServingHub>, stop: CancellationToken) {
-    let client = DutyClient::new(&hub);
+pub(super) async fn run_duties(shared: Arc<ControlShared>, stop: CancellationToken) {
+    let client = DutyClient::new(&shared);
     loop {
         tokio::select! {
             () = stop.cancelled() => return,
             () = tokio::time::sleep(DUTY_INTERVAL) => {}
         }
-        let Some(leading_since) = hub.group.status().borrow().leading_since else {
+        let Some(leading_since) = shared.group.status().borrow().leading_since else {
             continue;
         };
-        if !hub.group.may_act(boot_now()) {
+        if !shared.group.may_act(boot_now()) {
             continue;
         }
-        if let Some(stamp) = assume_duties(&hub).await {
-            run_as_holder(&hub, &client, &stamp, leading_since, &stop).await;
+        if let Some(stamp) = assume_duties(&shared).await {
+            run_as_holder(&shared, &client, &stamp, leading_since, &stop).await;
         }
     }
 }
 
 /// Commits the assignment of the duties to this host, and returns the new fencing number, or `None` if that failed.
-async fn assume_duties(hub: &ServingHub) -> Option<DutyStamp> {
-    let holder = hub.settings.host.as_str().into();
+async fn assume_duties(shared: &ControlShared) -> Option<DutyStamp> {
+    let holder = shared.settings.host.as_str().into();
     let command = ControlCommand::Serving(ServingCommand::AssumeDuties { holder });
-    let outcome = hub.group.propose(command).await;
+    let outcome = shared.group.propose(command).await;
     let Ok(CommandOutcome::Serving(ServingOutcome::Fence(fence))) = outcome else {
         return None;
     };
-    slog::info!(hub.log, "duties assumed"; "event" => event::DUTIES_ASSUMED, "fence" => fence.0);
+    slog::info!(shared.log, "duties assumed"; "event" => event::DUTIES_ASSUMED, "fence" => fence.0);
     Some(DutyStamp {
-        holder: hub.settings.host.clone(),
+        holder: shared.settings.host.clone(),
         fence,
     })
 }
@@ -170,7 +170,7 @@
 /// Carries out the duties as long as this process leads without interruption since `leading_since`, or until `stop`
 /// is cancelled.
 async fn run_as_holder(
-    hub: &Arc<ServingHub>,
+    shared: &Arc<ControlShared>,
     client: &DutyClient,
     stamp: &DutyStamp,
     leading_since: BootTime,
@@ -179,7 +179,7 @@
     // The very first holder has no predecessor. Any other waits for the duty lease, so that the duties cannot change
     // hands twice within it.
     let wait = if stamp.fence.0 > 1 {
-        hub.settings.duty_lease + HANDOVER_MARGIN
+        shared.settings.duty_lease + HANDOVER_MARGIN
     } else {
         Duration::ZERO
     };
@@ -192,17 +192,17 @@
             () = tokio::time::sleep(DUTY_INTERVAL) => {}
         }
         let now = boot_now();
-        if hub.group.status().borrow().leading_since != Some(leading_since) {
-            slog::info!(hub.log, "duties ended because leadership changed"; "event" => event::DUTIES_LEFT,
+        if shared.group.status().borrow().leading_since != Some(leading_since) {
+            slog::info!(shared.log, "duties ended because leadership changed"; "event" => event::DUTIES_LEFT,
                 "fence" => stamp.fence.0);
             return;
         }
-        if !hub.group.may_act(now) || now.since(leading_since) < wait {
+        if !shared.group.may_act(now) || now.since(leading_since) < wait {
             continue;
         }
         let context = DutyContext {
             now,
-            hub,
+            shared,
             client,
             stamp,
         };
--- a/crates/acacia-control/src/serving/engine_orders.rs
+++ b/crates/acacia-control/src/serving/engine_orders.rs
@@ -142,18 +142,18 @@
 /// Asks the engine how many orders it has accepted, and makes the order conditional on that number. A delayed copy then
 /// fails instead of undoing a newer order.
 async fn send_order(context: &OwnedDutyContext, change: &StageChange, address: SocketAddr) -> OrderOutcome {
-    let OwnedDutyContext { hub, client, stamp } = context;
-    let reported = client.send(address, hub.platform.report_call()).await;
-    let report = reported.ok().and_then(|(_, body)| hub.platform.read_report(&body));
+    let OwnedDutyContext { shared, client, stamp } = context;
+    let reported = client.send(address, shared.platform.report_call()).await;
+    let report = reported.ok().and_then(|(_, body)| shared.platform.read_report(&body));
     let Some(report) = report.filter(|report| !report.busy) else {
-        slog::info!(hub.log, "no order sent: engine is busy or gave no report"; "event" => event::ORDER_UNSETTLED,
+        slog::info!(shared.log, "no order sent: engine is busy or gave no report"; "event" => event::ORDER_UNSETTLED,
             "endpoint" => change.endpoint.as_str(), "report" => ?report);
         return OrderOutcome::Refused;
     };
     if report.stage == Some(change.stage) {
         return OrderOutcome::Accepted;
     }
-    let call = hub
+    let call = shared
         .platform
         .stage_call(stamp, &change.endpoint, change.stage, report.accepted_orders);
     let sent = client.send(address, call).await;
@@ -162,7 +162,7 @@
         Ok((status, _)) => (OrderOutcome::Refused, status.to_string()),
         Err(error) => (OrderOutcome::Open, format!("{error:#}")),
     };
-    slog::info!(hub.log, "stage order sent"; "event" => event::ORDER_SENT, "endpoint" => change.endpoint.as_str(),
+    slog::info!(shared.log, "stage order sent"; "event" => event::ORDER_SENT, "endpoint" => change.endpoint.as_str(),
         "stage" => ?change.stage, "fence" => stamp.fence.0, "expected" => report.accepted_orders,
         "outcome" => ?outcome, "reason" => reason);
     outcome
--- a/crates/acacia-control/src/serving/mod.rs
+++ b/crates/acacia-control/src/serving/mod.rs
@@ -2,7 +2,7 @@
 //! registry of endpoints from their own reports, and serves sessions with the entries.
 //!
 //! * `bootstrap` creates the group or obtains a place in it; `peers` accepts connections from entries and replicas.
-//! * `hub` holds the state that the tasks share. `session` serves one entry or replica, `renewals` answers the lease
+//! * `shared` holds the state that the tasks share. `session` serves one entry or replica, `renewals` answers the lease
 //!   renewals of entries with configurations from `config_cache`, and `observer` receives the endpoint reports that
 //!   other replicas got.
 //! * `control_http` answers operators and endpoints through a [`ControlCodec`].
@@ -17,12 +17,12 @@
 mod control_http;
 mod duties;
 mod engine_orders;
-mod hub;
 mod observer;
 mod peers;
 mod pool_orders;
 mod renewals;
 mod session;
+mod shared;
 mod stage_orders;
 mod start;
 mod usage_windows;
--- a/crates/acacia-control/src/serving/observer.rs
+++ b/crates/acacia-control/src/serving/observer.rs
@@ -17,8 +17,8 @@
 use tokio::task::JoinHandle;
 use tokio_util::sync::CancellationToken;
 
-use super::hub::ServingHub;
 use super::session::KEEPALIVE_INTERVAL;
+use super::shared::ControlShared;
 
 /// Time for which the kernel retries to deliver data to a replica (`TCP_USER_TIMEOUT`).
 const USER_TIMEOUT: Duration = Duration::from_secs(2);
@@ -28,8 +28,8 @@
 const RECONNECT_DELAY: Duration = Duration::from_millis(200);
 
 /// Keeps a session open with every other voter until `stop` is cancelled.
-pub(super) async fn observe_replicas(hub: Arc<ServingHub>, stop: CancellationToken) {
-    let mut status = hub.group.status();
+pub(super) async fn observe_replicas(shared: Arc<ControlShared>, stop: CancellationToken) {
+    let mut status = shared.group.status();
     let mut sessions: BTreeMap<String, JoinHandle<()>> = BTreeMap::new();
     loop {
         let addresses = {
@@ -46,10 +46,10 @@
             keep
         });
         for address in addresses {
-            let hub = Arc::clone(&hub);
+            let shared = Arc::clone(&shared);
             sessions
                 .entry(address.clone())
-                .or_insert_with(|| tokio::spawn(maintain_session(hub, address)));
+                .or_insert_with(|| tokio::spawn(maintain_session(shared, address)));
         }
         tokio::select! {
             () = stop.cancelled() => break,
@@ -61,22 +61,22 @@
     }
 }
 
-async fn maintain_session(hub: Arc<ServingHub>, address: String) {
+async fn maintain_session(shared: Arc<ControlShared>, address: String) {
     loop {
-        if let Err(error) = run_session(&hub, &address).await {
-            slog::debug!(hub.log, "session with a replica failed"; "event" => event::CONNECTION_FAILED,
+        if let Err(error) = run_session(&shared, &address).await {
+            slog::debug!(shared.log, "session with a replica failed"; "event" => event::CONNECTION_FAILED,
                 "address" => &address, "error" => %error);
         }
         tokio::time::sleep(RECONNECT_DELAY).await;
     }
 }
 
-async fn run_session(hub: &ServingHub, address: &str) -> std::io::Result<()> {
+async fn run_session(shared: &ControlShared, address: &str) -> std::io::Result<()> {
     let stream = connect_within(address, CONNECT_TIMEOUT, USER_TIMEOUT).await?;
     let (mut reader, mut writer) = split_frames(stream);
     let hello = ServingHello {
-        host: hub.settings.host.clone(),
-        domain: hub.settings.failure_domain.clone(),
+        host: shared.settings.host.clone(),
+        domain: shared.settings.failure_domain.clone(),
         start: 0,
         entry: false,
         takes_deltas: false,
@@ -89,9 +89,9 @@
         let Body::News(news) = body else { continue };
         for row in &news.rows {
             match endpoint_from_wire(row) {
-                Ok((name, endpoint)) => hub.record_relayed_report(&name, endpoint),
+                Ok((name, endpoint)) => shared.record_relayed_report(&name, endpoint),
                 Err(error) => {
-                    slog::warn!(hub.log, "malformed endpoint report"; "event" => event::MESSAGE_REFUSED,
+                    slog::warn!(shared.log, "malformed endpoint report"; "event" => event::MESSAGE_REFUSED,
                         "from" => address, "error" => %error);
                 }
             }
--- a/crates/acacia-control/src/serving/peers.rs
+++ b/crates/acacia-control/src/serving/peers.rs
@@ -12,8 +12,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::sync::CancellationToken;
 
-use super::hub::ServingHub;
 use super::session::serve_session;
+use super::shared::ControlShared;
 use crate::group::{JoinAnswer, JoinCall};
 use crate::peer_listener::serve_replica;
 
@@ -25,7 +25,7 @@
 const USER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Accepts and serves connections from peers until `stop` is cancelled.
-pub(super) async fn serve_peers(listener: TcpListener, hub: Arc<ServingHub>, stop: CancellationToken) {
+pub(super) async fn serve_peers(listener: TcpListener, shared: Arc<ControlShared>, stop: CancellationToken) {
     loop {
         let accepted = tokio::select! {
             () = stop.cancelled() => return,
@@ -33,12 +33,12 @@
         };
         match accepted {
             Ok((stream, from)) => {
-                let (hub, stop) = (Arc::clone(&hub), stop.clone());
+                let (shared, stop) = (Arc::clone(&shared), stop.clone());
                 tokio::spawn(async move {
-                    let log = hub.log.clone();
+                    let log = shared.log.clone();
                     let ended = tokio::select! {
                         () = stop.cancelled() => Ok(()),
-                        ended = serve_connection(stream, hub) => ended,
+                        ended = serve_connection(stream, shared) => ended,
                     };
                     if let Err(error) = ended {
                         slog::debug!(log, "peer connection failed"; "event" => event::CONNECTION_FAILED,
@@ -51,20 +51,20 @@
     }
 }
 
-async fn serve_connection(stream: TcpStream, hub: Arc<ServingHub>) -> std::io::Result<()> {
+async fn serve_connection(stream: TcpStream, shared: Arc<ControlShared>) -> std::io::Result<()> {
     prepare_socket(&stream, USER_TIMEOUT)?;
     let (mut reader, writer) = split_frames(stream);
     match tokio::time::timeout(HELLO_TIMEOUT, reader.next()).await?? {
-        Some(Frame::Hello(hello)) => serve_replica(reader, &hub.group, hello).await,
-        Some(Frame::ServingHello(hello)) => serve_session(reader, writer, hub, hello).await,
-        Some(Frame::JoinRequest(request)) => answer_join(writer, &hub, request).await,
+        Some(Frame::Hello(hello)) => serve_replica(reader, &shared.group, hello).await,
+        Some(Frame::ServingHello(hello)) => serve_session(reader, writer, shared, hello).await,
+        Some(Frame::JoinRequest(request)) => answer_join(writer, &shared, request).await,
         _ => Err(std::io::ErrorKind::InvalidData.into()),
     }
 }
 
 async fn answer_join(
     mut writer: FrameWriter<TcpStream>,
-    hub: &ServingHub,
+    shared: &ControlShared,
     request: JoinRequest,
 ) -> std::io::Result<()> {
     let call = JoinCall {
@@ -73,12 +73,12 @@
         disk: DiskId(request.disk),
         replica: (request.replica != 0).then_some(ReplicaId(request.replica)),
     };
-    let group = hub.group.group();
+    let group = shared.group.group();
     let no_decision = JoinReply {
         group,
         ..JoinReply::default()
     };
-    let reply = match hub.group.join(call).await {
+    let reply = match shared.group.join(call).await {
         JoinAnswer::Member(replica) => JoinReply {
             replica: replica.0,
             ..no_decision
--- a/crates/acacia-control/src/serving/pool_orders.rs
+++ b/crates/acacia-control/src/serving/pool_orders.rs
@@ -18,7 +18,7 @@
 
 use super::codec::PoolOrder;
 use super::duties::DutyContext;
-use super::hub::ServingHub;
+use super::shared::ControlShared;
 use super::stage_orders::StageOrders;
 
 /// Interval at which pools are planned.
@@ -46,11 +46,11 @@
             return;
         }
         self.next_plan = now + PLAN_INTERVAL;
-        let Some(config) = context.hub.config() else { return };
-        let is_registry_complete = context.hub.is_registry_complete(now);
+        let Some(config) = context.shared.config() else { return };
+        let is_registry_complete = context.shared.is_registry_complete(now);
         for (service, spec) in &config.services {
             let Some(pool) = &spec.pool else { continue };
-            let measure = take_prefill_load(context.hub, service);
+            let measure = take_prefill_load(context.shared, service);
             let need = self.needs.entry(service.clone()).or_default();
             need.measure(now, measure, stages.wanted_decode_engines(service));
             self.plan_service(context, stages, service, pool, is_registry_complete);
@@ -66,11 +66,11 @@
         is_registry_complete: bool,
     ) {
         let now = context.now;
-        let present = present_pools(context.hub, service);
+        let present = present_pools(context.shared, service);
         let total: u32 = present.values().map(|pool| pool.total()).sum();
         self.record_present(service, &present);
         let (agreed, refused) = (self.accepted_counts(service), self.refused_domains(service));
-        let has_calls = context.hub.soft_state().has_calls();
+        let has_calls = context.shared.soft_state().has_calls();
         let need = self.needs.entry(service.clone()).or_default();
         // Without this subtraction, reclaimable endpoints that this holder has ordered would count as started by the
         // operators.
@@ -102,9 +102,9 @@
             // Engines that the platform is about to remove need no change of stage.
             stages.suspend(now);
         }
-        slog::debug!(context.hub.log, "pool planned"; "event" => event::POOL_PLANNED, "service" => service.as_str(),
+        slog::debug!(context.shared.log, "pool planned"; "event" => event::POOL_PLANNED, "service" => service.as_str(),
             "needed" => view.needed, "serving" => view.serving, "idle" => view.is_idle,
-            "readers" => readers, "pace_ms" => context.hub.soft_state().prefill_ms_per_token(service),
+            "readers" => readers, "pace_ms" => context.shared.soft_state().prefill_ms_per_token(service),
             "wanted" => ?wanted, "present" => ?view.present);
         let wanted = fill_gap(pool, &wanted, &view);
         for change in plan_pool_changes(pool, &wanted, &view) {
@@ -179,8 +179,8 @@
 }
 
 /// Returns the prefill load of a service since the previous plan, and resets its traffic counts.
-fn take_prefill_load(hub: &ServingHub, service: &ServiceName) -> ReadingMeasure {
-    let mut soft = hub.soft_state();
+fn take_prefill_load(shared: &ControlShared, service: &ServiceName) -> ReadingMeasure {
+    let mut soft = shared.soft_state();
     let traffic = std::mem::take(soft.traffic.entry(service.clone()).or_default());
     ReadingMeasure {
         unread_tokens: traffic.unread_tokens,
@@ -188,8 +188,8 @@
     }
 }
 
-fn present_pools(hub: &ServingHub, service: &ServiceName) -> BTreeMap<DomainName, DomainPool> {
-    let soft = hub.soft_state();
+fn present_pools(shared: &ControlShared, service: &ServiceName) -> BTreeMap<DomainName, DomainPool> {
+    let soft = shared.soft_state();
     let mut pools: BTreeMap<DomainName, DomainPool> = BTreeMap::new();
     let rows = soft.registry.rows().map(|(_, endpoint)| endpoint);
     for endpoint in rows.filter(|endpoint| endpoint.service == *service && endpoint.phase == EndpointPhase::Ready) {
--- a/crates/acacia-control/src/serving/renewals.rs
+++ b/crates/acacia-control/src/serving/renewals.rs
@@ -22,30 +22,30 @@
 use acaciabay::util::number::whole_millis;
 use prost::Message;
 
-use super::hub::{EntryState, ServingHub};
+use super::shared::{ControlShared, EntryState};
 
 /// Confirms an entry's lease, if this replica leads, and updates its configuration. Otherwise names the leader.
 ///
 /// Leadership is confirmed before the state is read. The state then contains everything that any replica has
 /// acknowledged, so the entry never uses a configuration that was replaced before it asked.
 pub(super) async fn answer_renewal(
-    hub: &ServingHub,
+    shared: &ControlShared,
     hello: &ServingHello,
     request: RenewServing,
     sent: &mut SentState,
 ) -> Body {
     let received_at = boot_now();
-    if hub.group.confirm().await.is_err() {
+    if shared.group.confirm().await.is_err() {
         return Body::Elsewhere(ServingElsewhere {
             request: request.request,
-            leader_address: leader_peer_address(hub),
+            leader_address: leader_peer_address(shared),
         });
     }
-    let newest = hub.newest_config();
-    let (entries, others) = record_entry_state(hub, hello, &request);
-    let content = config_update(hub, hello, &request, &newest, &mut sent.config);
+    let newest = shared.newest_config();
+    let (entries, others) = record_entry_state(shared, hello, &request);
+    let content = config_update(shared, hello, &request, &newest, &mut sent.config);
     if let Some(content) = &content {
-        log_config_update(hub, hello, &request, &newest, content, received_at);
+        log_config_update(shared, hello, &request, &newest, content, received_at);
     }
     Body::Renewed(ServingRenewed {
         request: request.request,
@@ -53,14 +53,14 @@
         content,
         entries,
         others,
-        kept: exchange_cached_parts(hub, &request, &mut sent.cached_parts_position),
-        silent: silent_endpoint_names(hub),
+        kept: exchange_cached_parts(shared, &request, &mut sent.cached_parts_position),
+        silent: silent_endpoint_names(shared),
     })
 }
 
 /// Returns the names of the endpoints that all entries should avoid.
-fn silent_endpoint_names(hub: &ServingHub) -> Vec<String> {
-    let soft = hub.soft_state();
+fn silent_endpoint_names(shared: &ControlShared) -> Vec<String> {
+    let soft = shared.soft_state();
     let silent = soft.silent_endpoints().into_iter();
     silent.map(ToString::to_string).collect()
 }
@@ -73,8 +73,8 @@
 }
 
 /// Logs the cached prompt parts that the entry announces, and returns those that were logged since its last renewal.
-fn exchange_cached_parts(hub: &ServingHub, request: &RenewServing, position: &mut LogPlace) -> Vec<KeptPart> {
-    let mut soft = hub.soft_state();
+fn exchange_cached_parts(shared: &ControlShared, request: &RenewServing, position: &mut LogPlace) -> Vec<KeptPart> {
+    let mut soft = shared.soft_state();
     for kept in &request.kept {
         soft.cached_parts.push(kept_from_wire(kept));
     }
@@ -85,7 +85,7 @@
 
 /// Returns the document or delta that updates the entry to the newest configuration, or `None` if it needs neither.
 fn config_update(
-    hub: &ServingHub,
+    shared: &ControlShared,
     hello: &ServingHello,
     request: &RenewServing,
     newest: &ConfigDocument,
@@ -99,14 +99,14 @@
     let content = sent.next_update(
         held,
         newest,
-        |number| hub.config_cache().recent.get(number).cloned(),
-        |base, target| hub.config_cache().delta_between(base, target),
+        |number| shared.config_cache().recent.get(number).cloned(),
+        |base, target| shared.config_cache().delta_between(base, target),
     );
     content.map(content_to_wire)
 }
 
 fn log_config_update(
-    hub: &ServingHub,
+    shared: &ControlShared,
     hello: &ServingHello,
     request: &RenewServing,
     newest: &ConfigDocument,
@@ -117,15 +117,15 @@
         serving_renewed::Content::Document(document) => (None, document.len()),
         serving_renewed::Content::Delta(delta) => (Some(delta.base_number), delta.encoded_len()),
     };
-    slog::info!(hub.log, "configuration sent"; "event" => event::CONFIG_SENT, "entry" => &hello.host,
+    slog::info!(shared.log, "configuration sent"; "event" => event::CONFIG_SENT, "entry" => &hello.host,
         "number" => newest.number.0, "held" => request.config_number, "base" => base, "bytes" => bytes,
         "asked" => request.request, "answer_ms" => whole_millis(boot_now().since(received_at)));
     metrics::counter!("acacia_config_bytes_sent_total").increment(bytes as u64);
 }
 
-fn leader_peer_address(hub: &ServingHub) -> String {
-    let control: Option<SocketAddr> = hub.leader_control_address();
-    let peer = control.map(|control| SocketAddr::new(control.ip(), hub.settings.peer_address.port()));
+fn leader_peer_address(shared: &ControlShared) -> String {
+    let control: Option<SocketAddr> = shared.leader_control_address();
+    let peer = control.map(|control| SocketAddr::new(control.ip(), shared.settings.peer_address.port()));
     peer.map(|peer| peer.to_string()).unwrap_or_default()
 }
 
@@ -136,7 +136,7 @@
 
 /// Records the state that the entry sent. Returns the number of serving entries and the work of the others at each
 /// endpoint.
-fn record_entry_state(hub: &ServingHub, hello: &ServingHello, request: &RenewServing) -> (u32, Vec<EndpointUse>) {
+fn record_entry_state(shared: &ControlShared, hello: &ServingHello, request: &RenewServing) -> (u32, Vec<EndpointUse>) {
     let now = boot_now();
     let host: HostName = hello.host.as_str().into();
     let start = EntryStart(hello.start);
@@ -146,13 +146,13 @@
         .map(|message| gathered_row(start, message))
         .collect();
     let new_rows: Vec<GatheredRow> = {
-        let state = hub.group.read();
+        let state = shared.group.read();
         starts
             .into_iter()
             .filter(|row| state.serving.gathered.has_new_counts(row))
             .collect()
     };
-    let mut soft = hub.soft_state();
+    let mut soft = shared.soft_state();
     soft.uncommitted_counts.extend(new_rows);
     for demand in &request.demands {
         let traffic = soft.traffic.entry(demand.service.as_str().into()).or_default();
--- a/crates/acacia-control/src/serving/session.rs
+++ b/crates/acacia-control/src/serving/session.rs
@@ -16,8 +16,8 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-use super::hub::ServingHub;
 use super::renewals::{SentState, answer_renewal};
+use super::shared::ControlShared;
 
 /// Interval of keepalive messages, from whose absence the other side detects a dead connection.
 pub(super) const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(500);
@@ -28,25 +28,25 @@
 pub(super) async fn serve_session(
     reader: FrameReader<TcpStream>,
     writer: FrameWriter<TcpStream>,
-    hub: Arc<ServingHub>,
+    shared: Arc<ControlShared>,
     hello: ServingHello,
 ) -> std::io::Result<()> {
-    slog::info!(hub.log, "session begun"; "event" => event::SESSION_BEGUN,
+    slog::info!(shared.log, "session begun"; "event" => event::SESSION_BEGUN,
         "peer" => &hello.host, "start" => hello.start, "entry" => hello.entry);
     let (frames, queue) = mpsc::channel(MAX_QUEUED_FRAMES);
     let ended = tokio::select! {
-        ended = read_frames(reader, &hub, &hello, frames.clone()) => ended,
-        ended = write_frames(writer, queue, &hub, &hello) => ended,
-        () = send_updates(&hub, frames) => Ok(()),
+        ended = read_frames(reader, &shared, &hello, frames.clone()) => ended,
+        ended = write_frames(writer, queue, &shared, &hello) => ended,
+        () = send_updates(&shared, frames) => Ok(()),
     };
-    slog::info!(hub.log, "session ended"; "event" => event::SESSION_ENDED,
+    slog::info!(shared.log, "session ended"; "event" => event::SESSION_ENDED,
         "peer" => &hello.host, "start" => hello.start, "outcome" => ?ended.as_ref().err());
     ended
 }
 
 async fn read_frames(
     mut reader: FrameReader<TcpStream>,
-    hub: &Arc<ServingHub>,
+    shared: &Arc<ControlShared>,
     hello: &ServingHello,
     frames: mpsc::Sender<QueuedFrame>,
 ) -> std::io::Result<()> {
@@ -56,7 +56,7 @@
             return Err(std::io::ErrorKind::InvalidData.into());
         };
         if let Body::Renew(request) = body {
-            let answer = answer_renewal(hub, hello, request, &mut sent).await;
+            let answer = answer_renewal(shared, hello, request, &mut sent).await;
             if frames.send(QueuedFrame::answer(boot_now(), answer)).await.is_err() {
                 return Ok(());
             }
@@ -95,7 +95,7 @@
 async fn write_frames(
     mut writer: FrameWriter<TcpStream>,
     mut queue: mpsc::Receiver<QueuedFrame>,
-    hub: &ServingHub,
+    shared: &ControlShared,
     hello: &ServingHello,
 ) -> std::io::Result<()> {
     let mut next_keepalive = Instant::now();
@@ -116,7 +116,7 @@
         }
         writer.flush().await?;
         if let Some((number, since)) = queued_config {
-            slog::info!(hub.log, "configuration written"; "event" => event::CONFIG_WRITTEN, "entry" => &hello.host,
+            slog::info!(shared.log, "configuration written"; "event" => event::CONFIG_WRITTEN, "entry" => &hello.host,
                 "number" => number, "waited_ms" => whole_millis(boot_now().since(since)));
         }
     }
@@ -134,13 +134,13 @@
 
 /// Sends all endpoints, and then every change until the session ends: endpoints, replica addresses, leadership of this
 /// replica, and the number of the configuration.
-async fn send_updates(hub: &Arc<ServingHub>, frames: mpsc::Sender<QueuedFrame>) {
-    let mut updates = hub.subscribe();
-    let mut numbers = hub.group.serving_numbers();
-    let mut status = hub.group.status();
+async fn send_updates(shared: &Arc<ControlShared>, frames: mpsc::Sender<QueuedFrame>) {
+    let mut updates = shared.subscribe();
+    let mut numbers = shared.group.serving_numbers();
+    let mut status = shared.group.status();
     let mut addresses = Vec::new();
     let mut was_leading = false;
-    let first = Body::News(hub.all_endpoints());
+    let first = Body::News(shared.all_endpoints());
     if frames.send(first.into()).await.is_err() {
         return;
     }
@@ -150,7 +150,7 @@
         let body = tokio::select! {
             received = updates.recv() => match received {
                 Ok(update) => update.as_ref().clone(),
-                Err(RecvError::Lagged(_)) => Body::News(hub.all_endpoints()),
+                Err(RecvError::Lagged(_)) => Body::News(shared.all_endpoints()),
                 Err(RecvError::Closed) => return,
             },
             Ok(()) = numbers.changed() => Body::NewerConfig(numbers.borrow_and_update().0),
--- a/crates/acacia-control/src/serving/hub.rs
+++ b/crates/acacia-control/src/serving/shared.rs
@@ -120,7 +120,7 @@
 
 /// State that the tasks share.
 #[derive(Debug)]
-pub(super) struct ServingHub {
+pub(super) struct ControlShared {
     pub(super) settings: ServingControlSettings,
     pub(super) group: GroupHandle,
     pub(super) codec: Arc<dyn ControlCodec>,
@@ -132,7 +132,7 @@
     config_cache: Mutex<ConfigCache>,
 }
 
-impl ServingHub {
+impl ControlShared {
     pub(super) fn new(
         settings: ServingControlSettings,
         group: GroupHandle,
--- a/crates/acacia-control/src/serving/stage_orders.rs
+++ b/crates/acacia-control/src/serving/stage_orders.rs
@@ -48,11 +48,11 @@
     /// Plans the stages of each service's engines and orders the changes.
     pub(super) fn tick(&mut self, context: &DutyContext<'_>) {
         let now = context.now;
-        if now < self.next_plan.max(self.suspended_until) || !context.hub.is_registry_complete(now) {
+        if now < self.next_plan.max(self.suspended_until) || !context.shared.is_registry_complete(now) {
             return;
         }
         self.next_plan = now + PLAN_INTERVAL;
-        let Some(config) = context.hub.config() else { return };
+        let Some(config) = context.shared.config() else { return };
         for (service, spec) in &config.services {
             if let Some(engine) = &spec.engine {
                 self.plan_service(context, service, engine);
@@ -130,7 +130,7 @@
             changes.retain(|change| change.stage == EngineStage::Decode);
         }
         for change in &changes {
-            slog::info!(context.hub.log, "stage change planned"; "event" => event::STAGE_PLANNED,
+            slog::info!(context.shared.log, "stage change planned"; "event" => event::STAGE_PLANNED,
                 "service" => service.as_str(), "endpoint" => change.endpoint.as_str(), "stage" => ?change.stage,
                 "engines" => rows.len(), "makers" => decode_engines, "wanted" => wanted,
                 "streams" => demand.streams, "held_tokens" => demand.held_tokens, "readers" => stages.prefill_engines);
@@ -139,7 +139,7 @@
             }
         }
         if has_removed || !changes.is_empty() {
-            context.hub.broadcast_resting(self.orders.resting(now));
+            context.shared.broadcast_resting(self.orders.resting(now));
         }
     }
 }
@@ -151,7 +151,7 @@
 /// Returns the engines of a service as reported, the demand of the streams that they decode, and true if no call of any
 /// service runs.
 fn observe_service(context: &DutyContext<'_>, service: &ServiceName) -> (Vec<EngineRow>, StreamDemand, bool) {
-    let soft = context.hub.soft_state();
+    let soft = context.shared.soft_state();
     let ready = soft.registry.ready(context.now, service).into_iter();
     let engines: Vec<EngineRow> = ready
         .filter(|(_, endpoint)| endpoint.stage.is_some())
--- a/crates/acacia-control/src/serving/start.rs
+++ b/crates/acacia-control/src/serving/start.rs
@@ -23,9 +23,9 @@
 use super::codec::{ControlCodec, PlatformCodec};
 use super::control_http;
 use super::duties::run_duties;
-use super::hub::ServingHub;
 use super::observer::observe_replicas;
 use super::peers::serve_peers;
+use super::shared::ControlShared;
 use crate::daemon::random_number;
 use crate::driver::{DriverParts, GroupDriver, spawn_driver};
 use crate::group::{GroupHandle, GroupInput, GroupShared};
@@ -72,19 +72,19 @@
     else {
         return Ok(());
     };
-    let (hub, driver) = open_group(settings, folder, identity, codec, platform, &log)?;
+    let (shared, driver) = open_group(settings, folder, identity, codec, platform, &log)?;
     let driver_task = spawn_driver(driver, stop.clone(), log.clone());
-    let tasks = spawn_tasks(&hub, peers, control, metrics, &stop, page);
-    let removal = watch_removal(&hub, &seeds, identity);
+    let tasks = spawn_tasks(&shared, peers, control, metrics, &stop, page);
+    let removal = watch_removal(&shared, &seeds, identity);
     let outcome = tokio::select! {
         () = stop.cancelled() => Ok(()),
-        () = removal => clear_removed_replica(&hub),
+        () = removal => clear_removed_replica(&shared),
     };
     slog::info!(log, "control stopping"; "event" => event::STOPPING);
     stop.cancel();
     tasks.close();
     tasks.wait().await;
-    hub.group.input(GroupInput::Stop);
+    shared.group.input(GroupInput::Stop);
     let ended = driver_task.await.context("the driver thread failed")?;
     slog::info!(log, "control stopped"; "event" => event::STOPPED);
     outcome.and(ended)
@@ -138,10 +138,10 @@
     codec: Arc<dyn ControlCodec>,
     platform: Arc<dyn PlatformCodec>,
     log: &Logger,
-) -> anyhow::Result<(Arc<ServingHub>, GroupDriver)> {
+) -> anyhow::Result<(Arc<ControlShared>, GroupDriver)> {
     let replica = identity.replica.context("folder has no place in the group")?;
     let (inputs, receiver) = mpsc::channel();
-    let shared = Arc::new(GroupShared::default());
+    let group_shared = Arc::new(GroupShared::default());
     let hello = Hello {
         group: identity.group,
         replica: replica.0,
@@ -150,16 +150,16 @@
     };
     let parts = DriverParts {
         id: replica,
-        shared: Arc::clone(&shared),
+        shared: Arc::clone(&group_shared),
         inputs: receiver,
         links: PeerLinks::new(Handle::current(), hello),
         log: log.clone(),
         policy: quorum_policy(settings.tolerated_losses),
     };
     let driver = GroupDriver::open(folder, parts, boot_now(), random_number()?)?;
-    let group = GroupHandle::new(inputs, shared, identity.group);
-    let hub = ServingHub::new(settings, group, codec, platform, log.clone());
-    Ok((Arc::new(hub), driver))
+    let group = GroupHandle::new(inputs, group_shared, identity.group);
+    let shared = ControlShared::new(settings, group, codec, platform, log.clone());
+    Ok((Arc::new(shared), driver))
 }
 
 /// Minimum number of voters if there are enough hosts, even if fewer losses have to be tolerated: a failure domain may
@@ -177,7 +177,7 @@
 }
 
 fn spawn_tasks(
-    hub: &Arc<ServingHub>,
+    shared: &Arc<ControlShared>,
     peers: TcpListener,
     control: TcpListener,
     metrics: TcpListener,
@@ -185,32 +185,34 @@
     page: MetricsPage,
 ) -> TaskTracker {
     let tasks = TaskTracker::new();
-    tasks.spawn(serve_peers(peers, Arc::clone(hub), stop.clone()));
-    tasks.spawn(observe_replicas(Arc::clone(hub), stop.clone()));
-    tasks.spawn(run_duties(Arc::clone(hub), stop.clone()));
-    tasks.spawn(forget_silent_endpoints(Arc::clone(hub), stop.clone()));
-    let (cache_hub, cache_stop) = (Arc::clone(hub), stop.clone());
+    tasks.spawn(serve_peers(peers, Arc::clone(shared), stop.clone()));
+    tasks.spawn(observe_replicas(Arc::clone(shared), stop.clone()));
+    tasks.spawn(run_duties(Arc::clone(shared), stop.clone()));
+    tasks.spawn(forget_silent_endpoints(Arc::clone(shared), stop.clone()));
+    let (cache_shared, cache_stop) = (Arc::clone(shared), stop.clone());
     tasks.spawn(async move {
-        cache_stop.run_until_cancelled(cache_hub.cache_recent_configs()).await;
+        cache_stop
+            .run_until_cancelled(cache_shared.cache_recent_configs())
+            .await;
     });
-    let http_hub = Arc::clone(hub);
+    let http_shared = Arc::clone(shared);
     tasks.spawn(serve_http(
         control,
         ServerBounds::default(),
         stop.clone(),
-        move |request| control_http::answer(Arc::clone(&http_hub), request),
+        move |request| control_http::answer(Arc::clone(&http_shared), request),
     ));
-    let status = hub.group.status();
+    let status = shared.group.status();
     let is_ready = move || status.borrow().leader.is_some();
     tasks.spawn(serve_admin(metrics, stop.clone(), page, is_ready, |_path| None));
     tasks
 }
 
-async fn forget_silent_endpoints(hub: Arc<ServingHub>, stop: CancellationToken) {
+async fn forget_silent_endpoints(shared: Arc<ControlShared>, stop: CancellationToken) {
     loop {
         tokio::select! {
             () = stop.cancelled() => return,
-            () = tokio::time::sleep(CLEANUP_INTERVAL) => hub.soft_state().registry.forget_silent(boot_now()),
+            () = tokio::time::sleep(CLEANUP_INTERVAL) => shared.soft_state().registry.forget_silent(boot_now()),
         }
     }
 }
@@ -219,8 +221,8 @@
 ///
 /// A replica that was frozen while another one replaced it no longer hears from a leader and cannot know why. If it did
 /// not ask, its host would never return to the group.
-async fn watch_removal(hub: &ServingHub, seeds: &SeedList, identity: FolderIdentity) {
-    let mut status = hub.group.status();
+async fn watch_removal(shared: &ControlShared, seeds: &SeedList, identity: FolderIdentity) {
+    let mut status = shared.group.status();
     loop {
         let leader_known = async {
             // An error means that the driver thread has ended. The process then stops for that reason.
@@ -228,7 +230,14 @@
         };
         if tokio::time::timeout(NO_LEADER_TIMEOUT, leader_known).await.is_err()
             && let Some(replica) = identity.replica
-            && was_removed(&hub.settings, seeds, member_addresses(hub), identity.disk, replica).await
+            && was_removed(
+                &shared.settings,
+                seeds,
+                member_addresses(shared),
+                identity.disk,
+                replica,
+            )
+            .await
         {
             return;
         }
@@ -236,16 +245,16 @@
     }
 }
 
-fn member_addresses(hub: &ServingHub) -> Vec<SocketAddr> {
-    let status = hub.group.status();
+fn member_addresses(shared: &ControlShared) -> Vec<SocketAddr> {
+    let status = shared.group.status();
     let status = status.borrow();
     let addresses = status.members.rows().filter_map(|(_, row)| row.address.parse().ok());
     addresses.collect()
 }
 
 /// Clears the data folder of a replica that the group has removed, so that the next start asks to be admitted again.
-fn clear_removed_replica(hub: &ServingHub) -> anyhow::Result<()> {
-    slog::warn!(hub.log, "removed from the group"; "event" => event::IDENTITY_REVOKED);
-    forget_replica(&hub.settings.data_folder, DiskId(random_number()?))?;
+fn clear_removed_replica(shared: &ControlShared) -> anyhow::Result<()> {
+    slog::warn!(shared.log, "removed from the group"; "event" => event::IDENTITY_REVOKED);
+    forget_replica(&shared.settings.data_folder, DiskId(random_number()?))?;
     anyhow::bail!("the group has removed this replica; the next start asks to be admitted as a new one")
 }
--- a/crates/acacia-control/src/serving/usage_windows.rs
+++ b/crates/acacia-control/src/serving/usage_windows.rs
@@ -15,7 +15,7 @@
 use tokio::sync::oneshot;
 
 use super::duties::{DutyContext, OwnedDutyContext};
-use super::hub::ServingHub;
+use super::shared::ControlShared;
 
 /// Minimum time from the start of one attempt to send a window to the next attempt.
 const MIN_SEND_INTERVAL: Duration = Duration::from_millis(500);
@@ -30,8 +30,8 @@
 impl UsageWindows {
     /// Commits new counts, seals the windows that are due, and sends the oldest one that the platform has not accepted.
     pub(super) async fn tick(&mut self, context: &DutyContext<'_>) {
-        commit_counts(context.hub).await;
-        seal_due_windows(context.hub).await;
+        commit_counts(context.shared).await;
+        seal_due_windows(context.shared).await;
         self.send_oldest(context);
     }
 
@@ -46,7 +46,7 @@
             return;
         }
         let oldest = context
-            .hub
+            .shared
             .group
             .read()
             .serving
@@ -66,65 +66,65 @@
     }
 }
 
-fn window_length_millis(hub: &ServingHub) -> u64 {
-    whole_millis(hub.settings.usage_window).max(1)
+fn window_length_millis(shared: &ControlShared) -> u64 {
+    whole_millis(shared.settings.usage_window).max(1)
 }
 
-fn sealed_call_count(hub: &ServingHub, window: WindowNumber) -> Option<u64> {
-    let state = hub.group.read();
+fn sealed_call_count(shared: &ControlShared, window: WindowNumber) -> Option<u64> {
+    let state = shared.group.read();
     state.serving.sealed.get(&window).map(|counts| counts.values().sum())
 }
 
 /// Commits the counts that entries have reported since the previous tick. If they were only in memory until the window
 /// ends, killing all processes at once would lose up to a whole window, and its calls would never be billed.
-async fn commit_counts(hub: &ServingHub) {
-    let rows = std::mem::take(&mut hub.soft_state().uncommitted_counts);
+async fn commit_counts(shared: &ControlShared) {
+    let rows = std::mem::take(&mut shared.soft_state().uncommitted_counts);
     if rows.is_empty() {
         return;
     }
     let command = ServingCommand::GatherStarts { rows };
     // If this replica no longer leads, entries report their counts again to the next leader.
-    let _not_leading = hub.group.propose(ControlCommand::Serving(command)).await;
+    let _not_leading = shared.group.propose(ControlCommand::Serving(command)).await;
 }
 
-async fn seal_due_windows(hub: &ServingHub) {
+async fn seal_due_windows(shared: &ControlShared) {
     let clock = WindowClock {
         wall_millis: wall_nanos() / 1_000_000,
-        length_millis: window_length_millis(hub),
-        due: hub.settings.usage_due,
+        length_millis: window_length_millis(shared),
+        due: shared.settings.usage_due,
     };
-    let last_sealed = hub.group.read().serving.last_sealed;
-    let silence = hub.soft_state().longest_silence(boot_now());
+    let last_sealed = shared.group.read().serving.last_sealed;
+    let silence = shared.soft_state().longest_silence(boot_now());
     for window in plan_windows(&clock, last_sealed, silence) {
         let command = ServingCommand::SealStarts { window };
-        if hub.group.propose(ControlCommand::Serving(command)).await.is_err() {
+        if shared.group.propose(ControlCommand::Serving(command)).await.is_err() {
             return;
         }
-        slog::info!(hub.log, "usage window sealed"; "event" => event::STARTS_SEALED,
-            "window" => window.0, "calls" => sealed_call_count(hub, window));
+        slog::info!(shared.log, "usage window sealed"; "event" => event::STARTS_SEALED,
+            "window" => window.0, "calls" => sealed_call_count(shared, window));
     }
 }
 
 async fn deliver(context: &OwnedDutyContext, window: WindowNumber, counts: &CustomerCounts) {
-    let OwnedDutyContext { hub, client, stamp } = context;
-    let Some(address) = hub.settings.platform_address else {
+    let OwnedDutyContext { shared, client, stamp } = context;
+    let Some(address) = shared.settings.platform_address else {
         return;
     };
-    let call = hub.platform.usage_call(stamp, window, counts);
+    let call = shared.platform.usage_call(stamp, window, counts);
     match client.send(address, call).await {
         Ok((status, _)) if status.is_success() => {
-            slog::info!(hub.log, "usage window accepted"; "event" => event::WINDOW_BILLED,
+            slog::info!(shared.log, "usage window accepted"; "event" => event::WINDOW_BILLED,
                 "window" => window.0, "fence" => stamp.fence.0);
             let command = ServingCommand::SettleStarts { window };
             // If this replica no longer leads, the next leader sends the same counts again.
-            let _not_leading = hub.group.propose(ControlCommand::Serving(command)).await;
+            let _not_leading = shared.group.propose(ControlCommand::Serving(command)).await;
         }
         Ok((StatusCode::CONFLICT, _)) => {
-            slog::warn!(hub.log, "usage window refused: the platform has seen a higher fencing number";
+            slog::warn!(shared.log, "usage window refused: the platform has seen a higher fencing number";
                 "event" => event::WINDOW_DELAYED, "window" => window.0, "fence" => stamp.fence.0);
         }
         other => {
-            slog::warn!(hub.log, "usage window could not be delivered"; "event" => event::WINDOW_DELAYED,
+            slog::warn!(shared.log, "usage window could not be delivered"; "event" => event::WINDOW_DELAYED,
                 "window" => window.0, "fence" => stamp.fence.0, "reason" => ?other.map(|(status, _)| status),
                 "now" => %boot_now());
         }
