--- a/crates/acacia-control/src/serving/duties.rs
+++ b/crates/acacia-control/src/serving/duties.rs
@@ -77,7 +77,7 @@
             let sent = self.client.send(boot_now(), address, ConnectionChoice::Fresh, request);
             let (parts, incoming) = sent.await?.response.into_parts();
             let whole = read_body(incoming, MAX_ANSWER_BYTES, ANSWER_TIMEOUT).await;
-            let body = whole.map_err(|refusal| anyhow::anyhow!("answer body could not be read: {refusal:?}"))?;
+            let body = whole.map_err(|refusal| anyhow::anyhow!("answer was not whole: {refusal:?}"))?;
             anyhow::Ok((parts.status, body))
         };
         tokio::time::timeout(ANSWER_TIMEOUT, exchange)
