--- a/crates/acacia-control/src/serving/duties.rs
+++ b/crates/acacia-control/src/serving/duties.rs
@@ -23,8 +23,8 @@
 use tokio_util::sync::CancellationToken;
 
 use super::codec::{DutyStamp, OutboundCall, PoolOrder};
-use super::hub::ServingHub;
 use super::pool_orders::PoolOrders;
+use super::shared::ControlShared;
 use super::stage_orders::StageOrders;
 use super::usage_windows::UsageWindows;
 
@@ -35,9 +35,9 @@
 /// Time for which the kernel retries to deliver data that was written under the lease (`TCP_USER_TIMEOUT`).
 const USER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Maximum size of an answer in bytes.
-const LARGEST_ANSWER: usize = 256 * 1024;
+const MAX_ANSWER_BYTES: usize = 256 * 1024;
 /// Time that a new holder waits in addition to the duty lease, within which the duties must not change hands twice.
-const TURN_MARGIN: Duration = Duration::from_millis(200);
+const HANDOVER_MARGIN: Duration = Duration::from_millis(200);
 
 /// HTTP client that sends only while this process has the leader lease.
 #[derive(Clone, Debug)]
@@ -46,8 +46,8 @@
 }
 
 impl DutyClient {
-    fn new(hub: &ServingHub) -> Self {
-        let group = hub.group.clone();
+    fn new(shared: &ControlShared) -> Self {
+        let group = shared.group.clone();
         // Connections are not reused: data written to an old one might be delivered after data sent on a new one.
         let options = ClientOptions {
             user_timeout: USER_TIMEOUT,
@@ -76,8 +76,8 @@
         let exchange = async {
             let sent = self.client.send(boot_now(), address, ConnectionChoice::Fresh, request);
             let (parts, incoming) = sent.await?.response.into_parts();
-            let whole = read_body(incoming, LARGEST_ANSWER, ANSWER_TIMEOUT).await;
-            let body = whole.map_err(|refusal| anyhow::anyhow!("answer body could not be read: {refusal:?}"))?;
+            let whole = read_body(incoming, MAX_ANSWER_BYTES, ANSWER_TIMEOUT).await;
+            let body = whole.map_err(|refusal| anyhow::anyhow!("answer was not whole: {refusal:?}"))?;
             anyhow::Ok((parts.status, body))
         };
         tokio::time::timeout(ANSWER_TIMEOUT, exchange)
@@ -88,43 +88,43 @@
 
 /// One tick of the duty holder, with everything that the duties need during it.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct DutyTurn<'holder> {
+pub(super) struct DutyContext<'holder> {
     pub(super) now: BootTime,
-    pub(super) hub: &'holder Arc<ServingHub>,
+    pub(super) shared: &'holder Arc<ControlShared>,
     pub(super) client: &'holder DutyClient,
     pub(super) stamp: &'holder DutyStamp,
 }
 
-/// Owned copy of a [`DutyTurn`] for tasks that continue after the tick.
+/// Owned copy of a [`DutyContext`] for tasks that continue after the tick.
 #[derive(Clone, Debug)]
-pub(super) struct OwnedTurn {
-    pub(super) hub: Arc<ServingHub>,
+pub(super) struct OwnedDutyContext {
+    pub(super) shared: Arc<ControlShared>,
     pub(super) client: DutyClient,
     pub(super) stamp: DutyStamp,
 }
 
-impl DutyTurn<'_> {
-    pub(super) fn for_task(self) -> OwnedTurn {
-        OwnedTurn {
-            hub: Arc::clone(self.hub),
+impl DutyContext<'_> {
+    pub(super) fn to_owned_context(self) -> OwnedDutyContext {
+        OwnedDutyContext {
+            shared: Arc::clone(self.shared),
             client: self.client.clone(),
             stamp: self.stamp.clone(),
         }
     }
 }
 
-impl OwnedTurn {
+impl OwnedDutyContext {
     /// Sends an order to the platform. Returns true if the platform has accepted it.
     pub(super) async fn send_pool_order(&self, order: &PoolOrder) -> bool {
-        let Some(address) = self.hub.settings.platform_address else {
+        let Some(address) = self.shared.settings.platform_address else {
             return false;
         };
         let sent = self
             .client
-            .send(address, self.hub.platform.pool_call(&self.stamp, order))
+            .send(address, self.shared.platform.pool_call(&self.stamp, order))
             .await;
         let is_accepted = matches!(&sent, Ok((status, _)) if status.is_success());
-        slog::info!(self.hub.log, "pool order sent"; "event" => event::POOL_ORDERED,
+        slog::info!(self.shared.log, "pool order sent"; "event" => event::POOL_ORDERED,
             "service" => order.service.as_str(), "domain" => order.domain.as_str(),
             "reclaimable" => order.reclaimable, "desired" => order.desired, "fence" => self.stamp.fence.0,
             "accepted" => is_accepted, "answer" => ?sent.map(|(status, _)| status));
@@ -133,53 +133,53 @@
 }
 
 /// Takes and carries out the duties whenever this process leads, until `stop` is cancelled.
-pub(super) async fn run_duties(hub: Arc<ServingHub>, stop: CancellationToken) {
-    let client = DutyClient::new(&hub);
+pub(super) async fn run_duties(shared: Arc<ControlShared>, stop: CancellationToken) {
+    let client = DutyClient::new(&shared);
     loop {
         tokio::select! {
             () = stop.cancelled() => return,
             () = tokio::time::sleep(DUTY_INTERVAL) => {}
         }
-        let Some(since) = hub.group.status().borrow().leading_since else {
+        let Some(leading_since) = shared.group.status().borrow().leading_since else {
             continue;
         };
-        if !hub.group.may_act(boot_now()) {
+        if !shared.group.may_act(boot_now()) {
             continue;
         }
-        if let Some(stamp) = assume(&hub).await {
-            hold_duties(&hub, &client, &stamp, since, &stop).await;
+        if let Some(stamp) = assume_duties(&shared).await {
+            run_as_holder(&shared, &client, &stamp, leading_since, &stop).await;
         }
     }
 }
 
 /// Commits the assignment of the duties to this host, and returns the new fencing number, or `None` if that failed.
-async fn assume(hub: &ServingHub) -> Option<DutyStamp> {
-    let holder = hub.settings.host.as_str().into();
+async fn assume_duties(shared: &ControlShared) -> Option<DutyStamp> {
+    let holder = shared.settings.host.as_str().into();
     let command = ControlCommand::Serving(ServingCommand::AssumeDuties { holder });
-    let outcome = hub.group.propose(command).await;
+    let outcome = shared.group.propose(command).await;
     let Ok(CommandOutcome::Serving(ServingOutcome::Fence(fence))) = outcome else {
         return None;
     };
-    slog::info!(hub.log, "duties assumed"; "event" => event::DUTIES_ASSUMED, "fence" => fence.0);
+    slog::info!(shared.log, "duties assumed"; "event" => event::DUTIES_ASSUMED, "fence" => fence.0);
     Some(DutyStamp {
-        holder: hub.settings.host.clone(),
+        holder: shared.settings.host.clone(),
         fence,
     })
 }
 
-/// Carries out the duties as long as this process leads without interruption since `since`, or until `stop`
+/// Carries out the duties as long as this process leads without interruption since `leading_since`, or until `stop`
 /// is cancelled.
-async fn hold_duties(
-    hub: &Arc<ServingHub>,
+async fn run_as_holder(
+    shared: &Arc<ControlShared>,
     client: &DutyClient,
     stamp: &DutyStamp,
-    since: BootTime,
+    leading_since: BootTime,
     stop: &CancellationToken,
 ) {
     // The very first holder has no predecessor. Any other waits for the duty lease, so that the duties cannot change
     // hands twice within it.
     let wait = if stamp.fence.0 > 1 {
-        hub.settings.duty_lease + TURN_MARGIN
+        shared.settings.duty_lease + HANDOVER_MARGIN
     } else {
         Duration::ZERO
     };
@@ -192,21 +192,22 @@
             () = tokio::time::sleep(DUTY_INTERVAL) => {}
         }
         let now = boot_now();
-        if hub.group.status().borrow().leading_since != Some(since) {
-            slog::info!(hub.log, "duties left"; "event" => event::DUTIES_LEFT, "fence" => stamp.fence.0);
+        if shared.group.status().borrow().leading_since != Some(leading_since) {
+            slog::info!(shared.log, "duties ended because leadership changed"; "event" => event::DUTIES_LEFT,
+                "fence" => stamp.fence.0);
             return;
         }
-        if !hub.group.may_act(now) || now.since(since) < wait {
+        if !shared.group.may_act(now) || now.since(leading_since) < wait {
             continue;
         }
-        let turn = DutyTurn {
+        let context = DutyContext {
             now,
-            hub,
+            shared,
             client,
             stamp,
         };
-        windows.tick(&turn).await;
-        pools.tick(&turn, &mut stages);
-        stages.tick(&turn);
+        windows.tick(&context).await;
+        pools.tick(&context, &mut stages);
+        stages.tick(&context);
     }
 }
