--- a/crates/acacia-control/src/serving/shared.rs
+++ b/crates/acacia-control/src/serving/shared.rs
@@ -32,25 +32,30 @@
 
 /// Maximum number of updates that a session may lag behind. Beyond it, the session sends all endpoints again.
 const MAX_QUEUED_UPDATES: usize = 1_024;
-/// Time after the start of the process until its registry counts as complete. Endpoints report about once a second, and
-/// send their first report up to two seconds after the group has begun to answer.
+/// Time from the creation of [`ControlShared`] until the registry counts as complete. Endpoints report about once a
+/// second, and send their first report up to two seconds after the group has begun to answer. If the group begins to
+/// answer only after that creation, the delay falls within this value too.
 const REGISTRY_FILL_TIME: Duration = Duration::from_millis(3_800);
-/// Time without a renewal after which an entry no longer counts as serving. Its lease has ended long before.
+/// Time without a renewal after which an entry no longer counts as serving. Its serving lease has ended long before.
 const ENTRY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The state that an entry sent with its last renewal.
 #[derive(Clone, Debug)]
 pub(super) struct EntryState {
+    /// Time at which this replica received the renewal.
     pub(super) heard_at: BootTime,
+    /// Failure domain of the entry.
     pub(super) domain: DomainName,
+    /// Outstanding work of the entry at each endpoint.
     pub(super) work: Vec<(EndpointName, EndpointWork)>,
     /// Endpoints that the entry has found silent.
     pub(super) silent: Vec<EndpointName>,
-    /// Prefill time per token in milliseconds, as measured by the entry.
+    /// Prefill time per token in milliseconds, as measured by the entry. A renewal names only services with calls since
+    /// the last one, so the values of the others are kept from earlier renewals.
     pub(super) paces: BTreeMap<ServiceName, f64>,
 }
 
-/// Demand for a service over all entries since it was last read.
+/// Demand for a service over all entries since the pool of the service was last planned on this replica.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct ServiceTraffic {
     pub(super) calls: u64,
@@ -60,7 +65,8 @@
     pub(super) wait_us: u64,
 }
 
-/// Soft state: it is not replicated, and is rebuilt from reports after each start.
+/// Soft state, which is not replicated. After each start it is rebuilt from the reports of endpoints and the renewals
+/// of entries.
 #[derive(Debug, Default)]
 pub(super) struct SoftState {
     pub(super) registry: EndpointRegistry,
@@ -70,11 +76,13 @@
     pub(super) traffic: BTreeMap<ServiceName, ServiceTraffic>,
     /// Prompt parts that engines have cached, as announced by entries.
     pub(super) cached_parts: KeptLog,
+    /// Configuration that was parsed last. It is reused while its number is the newest.
     config: Option<Arc<ServingConfig>>,
 }
 
 impl SoftState {
-    /// Forgets entries that have been silent for too long, and returns the number of the others.
+    /// Removes the entries whose last renewal is at least [`ENTRY_TIMEOUT`] ago, and returns the number of the
+    /// remaining entries.
     pub(super) fn live_entries(&mut self, now: BootTime) -> usize {
         self.entries.retain(|_, row| now.since(row.heard_at) < ENTRY_TIMEOUT);
         self.entries.len()
@@ -89,7 +97,8 @@
         paces.get(paces.len() / 2).copied().unwrap_or(0.0)
     }
 
-    /// Returns the time since the last renewal of the entry that has been silent longest.
+    /// Removes timed-out entries as [`Self::live_entries`] does, and returns the longest time since the last renewal of
+    /// a remaining entry, or zero if none remains.
     pub(super) fn longest_silence(&mut self, now: BootTime) -> Duration {
         self.live_entries(now);
         let silences = self.entries.values().map(|row| now.since(row.heard_at));
@@ -101,7 +110,7 @@
         self.entries.values().any(|row| !row.work.is_empty())
     }
 
-    /// Returns the endpoints that all entries should avoid.
+    /// Returns the endpoints that all entries should avoid, since entries in several failure domains find them silent.
     pub(super) fn silent_endpoints(&self) -> BTreeSet<&EndpointName> {
         let rows = self.entries.values();
         shared_suspicions(rows.flat_map(|row| row.silent.iter().map(|endpoint| (&row.domain, endpoint))))
@@ -120,7 +129,7 @@
     }
 }
 
-/// State that the tasks share.
+/// Settings, handles and soft state that the tasks of a control process share.
 #[derive(Debug)]
 pub(super) struct ControlShared {
     pub(super) settings: ServingControlSettings,
@@ -155,8 +164,8 @@
         }
     }
 
-    /// Returns true once every endpoint has had time to report since this process started. Orders that are based on an
-    /// incomplete registry would be wrong.
+    /// Returns true once [`REGISTRY_FILL_TIME`] has passed, so that every endpoint has had time to report. Orders that
+    /// are based on an incomplete registry would be wrong.
     pub(super) fn is_registry_complete(&self, now: BootTime) -> bool {
         now.since(self.started_at) >= REGISTRY_FILL_TIME
     }
@@ -216,8 +225,9 @@
         let _no_receiver = self.updates.send(Arc::new(Body::News(EndpointNews { rows })));
     }
 
-    /// Tells all sessions which engines carry out an order, before it is given: an entry that learned of it from the
-    /// engine's next report would send calls there in vain for a second.
+    /// Broadcasts to all sessions the engines that take no calls until they have carried out an order. Entries should
+    /// learn of an order before the engine does, but nothing here enforces that sequence. An entry that learned of it
+    /// only from the engine's next report would send calls to the engine in vain for a second.
     pub(super) fn broadcast_resting(&self, engines: Vec<RestingEngine>) {
         let _no_receiver = self.updates.send(Arc::new(Body::Resting(RestingEngines { engines })));
     }
