--- a/crates/acacia-control/src/serving/pool_orders.rs
+++ b/crates/acacia-control/src/serving/pool_orders.rs
@@ -23,13 +23,15 @@
 
 /// Interval at which pools are planned.
 const PLAN_INTERVAL: Duration = Duration::from_millis(500);
-/// Pause after a release of endpoints before the next one. If decode engines were released, the engines that replace
-/// them need this time to change their stage.
+/// Pause after a release of endpoints before the next one. If decode engines were released, remaining engines that are
+/// to replace them need this time to change their stage.
 const RELEASE_PAUSE: Duration = Duration::from_secs(5);
 
+/// Service, failure domain and kind of the ordered endpoints: true for those that the platform may reclaim, false for
+/// on-demand ones.
 type OrderKey = (ServiceName, DomainName, bool);
 
-/// Planned needs and issued orders of one duty holder.
+/// Planned needs and issued orders of one duty holder, that is, of the leader while it carries out the duties.
 #[derive(Debug, Default)]
 pub(super) struct PoolOrders {
     next_plan: BootTime,
@@ -72,8 +74,9 @@
         let (agreed, refused) = (self.accepted_counts(service), self.refused_domains(service));
         let has_calls = context.shared.soft_state().has_calls();
         let need = self.needs.entry(service.clone()).or_default();
-        // Without this subtraction, reclaimable endpoints that this holder has ordered would count as started by the
-        // operators.
+        // `start_with` derives the need before the first measurement from the endpoints that the operators have
+        // started. Reclaimable endpoints that this duty holder has ordered itself are subtracted, or they would count
+        // as started by the operators.
         let own_reclaimable: u32 = agreed
             .iter()
             .map(|(domain, agreed)| reclaimable_count(&present, domain).min(*agreed))
@@ -121,7 +124,8 @@
         }
     }
 
-    /// Records the endpoints that are present in the issued orders, so that fulfilled orders are recognized.
+    /// Records in each issued order how many endpoints of its kind are present in its failure domain, so that fulfilled
+    /// orders are recognized.
     fn record_present(&self, service: &ServiceName, present: &BTreeMap<DomainName, DomainPool>) {
         let mut issued = self.issued.lock();
         for ((_, domain, reclaimable), order) in issued.iter_mut().filter(|((known, ..), _)| known == service) {
