--- a/crates/acacia-control/src/storage/log_file.rs
+++ b/crates/acacia-control/src/storage/log_file.rs
@@ -1,4 +1,4 @@
-//! Log file, with one record per synced write.
+//! Log file of a replica: its hard state and the log entries after its snapshot, with one record per synced write.
 
 use std::fs::{File, OpenOptions};
 use std::io::{Seek, SeekFrom, Write};
@@ -18,9 +18,11 @@
 /// Content of a log file.
 #[derive(Debug, Default)]
 pub(super) struct LogContent {
+    /// Index and term of the snapshot that the log starts after.
     pub(super) base: (LogIndex, Term),
     pub(super) hard_state: HardState,
     pub(super) entries: Vec<LogEntry>,
+    /// Number of bytes after the last complete record, which an incomplete last write has left, or 0.
     pub(super) torn_bytes: usize,
 }
 
@@ -62,6 +64,7 @@
                 term: base.1.0,
             }),
             hard_state: Some(hard_state_to_wire(&hard_state)),
+            // No entries are removed, since this is the first record of the new file.
             first: 0,
             entries: entries.iter().map(entry_to_wire).collect(),
         };
@@ -69,11 +72,13 @@
         Ok(Self::open(folder)?.0)
     }
 
-    /// Appends a record and syncs it.
+    /// Appends a record with the hard state and the entries, as far as they are given, and syncs it. The entries
+    /// replace earlier ones from the index `append.first` on.
     pub(super) fn append(&mut self, hard_state: Option<HardState>, append: Option<&LogAppend>) -> anyhow::Result<()> {
         let record = replica::LogRecord {
             base: None,
             hard_state: hard_state.as_ref().map(hard_state_to_wire),
+            // 0 means that no earlier entries are removed.
             first: append.map_or(0, |append| append.first.0),
             entries: append
                 .into_iter()
@@ -100,10 +105,13 @@
                 offset = next;
             }
             ReadRecord::End => break,
+            // The last write was incomplete and was never acknowledged, so it can be truncated.
             ReadRecord::Torn => {
                 content.torn_bytes = bytes.len() - offset;
                 break;
             }
+            // The record does not look like an incomplete write, so truncating it could drop entries that this replica
+            // has acknowledged.
             ReadRecord::Corrupt => bail!("record at byte {offset} is corrupt; repair the disk of this host"),
         }
     }
@@ -120,6 +128,7 @@
     if let Some(hard_state) = record.hard_state {
         content.hard_state = hard_state_from_wire(&hard_state);
     }
+    // Entries from `first` on are removed before those of the record are added; 0 means that none are removed.
     if record.first > 0 {
         while content
             .entries
