--- a/crates/acacia-control/src/driver/disk_full.rs
+++ b/crates/acacia-control/src/driver/disk_full.rs
@@ -22,13 +22,13 @@
     /// has to stop.
     ///
     /// A full disk rejects a write without losing stored data. If the process exited instead, it would exit again at
-    /// each start until there is space. Its other work would stop too: endpoints report to this process, and entries
-    /// learn of endpoints from it. Reloading the folder truncates the incomplete write, and leaves the replica in the
-    /// same state as a restart of the process.
+    /// each start until there is space. The other tasks of the process would stop too: endpoints report to it, and
+    /// entries learn of endpoints from it. Reloading the folder truncates the incomplete write, and leaves the replica
+    /// in the same state as a restart of the process.
     ///
     /// # Errors
     ///
-    /// Fails if `error` or a later one has a cause other than a full disk.
+    /// Fails if `error`, or the error of a later attempt to restart the replica, has a cause other than a full disk.
     pub(super) fn wait_for_space(&mut self, error: &anyhow::Error) -> anyhow::Result<bool> {
         if !is_disk_full(error) {
             return Err(anyhow::anyhow!("{error:#}"));
@@ -52,7 +52,8 @@
         }
     }
 
-    /// Publishes that this replica neither leads nor knows a leader, and rejects the pending requests.
+    /// Publishes that this replica neither leads nor knows a leader. Pending proposals are answered with that error;
+    /// pending binds and confirmations are dropped, which tells their receivers that there will be no answer.
     fn suspend(&mut self) {
         self.shared.set_lease(BootTime::default());
         self.leading_since = None;
@@ -67,7 +68,8 @@
         self.pending_confirmations.clear();
     }
 
-    /// Rejects all inputs that arrive within `duration`; returns true if the driver has to stop.
+    /// Answers the proposals that arrive within `duration` with the error that no leader is known, and drops all other
+    /// inputs, including messages from peers. Returns true if the driver has to stop.
     fn reject_inputs(&self, duration: Duration) -> bool {
         let deadline = Instant::now() + duration;
         loop {
@@ -86,7 +88,8 @@
         }
     }
 
-    /// Reloads the folder, checks that it can be written, and creates the replica anew.
+    /// Reloads the folder, checks that it can be written by appending the stored hard state once more, and creates the
+    /// replica anew.
     fn restart_replica(&mut self) -> anyhow::Result<()> {
         let stored = self.folder.load()?;
         self.folder.append(Some(stored.restored.hard_state), None)?;
@@ -97,12 +100,14 @@
         self.replica = replica.with_policy(self.policy);
         self.shared.config_version.send_replace(state.version());
         *self.shared.state.write() = state;
+        // The state is that of the snapshot again, so no commands have been applied since it.
         self.applied_bytes = 0;
         Ok(())
     }
 }
 
-/// Returns true if an operation failed because the disk or a quota is full, which does not affect data already stored.
+/// Returns true if an operation failed because the disk is full or a quota is used up. Such a failure does not affect
+/// data already stored.
 fn is_disk_full(error: &anyhow::Error) -> bool {
     let cause = error.chain().find_map(|cause| cause.downcast_ref::<std::io::Error>());
     cause.is_some_and(|cause| matches!(cause.kind(), ErrorKind::StorageFull | ErrorKind::QuotaExceeded))
