--- a/crates/acacia-entry/src/serving/attempt.rs
+++ b/crates/acacia-entry/src/serving/attempt.rs
@@ -18,14 +18,14 @@
 use super::codec::{AttemptHead, AttemptRole};
 use super::endpoint_choice::ChosenEndpoint;
 
-/// Time by which an idle connection is closed earlier than the endpoint closes it. Without it, a request could be sent
-/// while the endpoint is closing the connection.
+/// Safety margin before the endpoint's keep-alive timeout: an idle connection is no longer used this long before the
+/// endpoint closes it. Without the margin, a request could be sent while the endpoint is closing the connection.
 const IDLE_CLOSE_MARGIN: Duration = Duration::from_secs(1);
 
 /// Result of an attempt.
 #[derive(Debug)]
 pub(super) enum AttemptOutcome {
-    /// The endpoint has answered. The body may be incomplete yet.
+    /// The endpoint has answered. The body may still be arriving.
     Answered(Box<EndpointReply>),
     /// The endpoint has not run the call: either nothing was sent, or the endpoint itself states so.
     NotRun {
@@ -64,7 +64,8 @@
     }
 }
 
-/// Attempt that awaits its answer. If it is dropped before it has ended, the caller has disconnected, which is logged.
+/// Attempt that is waiting for its answer. A drop before the end of the attempt means that the caller has disconnected,
+/// and is logged.
 #[derive(Debug)]
 struct PendingAttempt<'call> {
     call: &'call AcceptedCall,
@@ -96,14 +97,15 @@
 /// Time limits of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptTimeouts {
-    /// Time without an answer after which the endpoint is suspected and other calls avoid it, or `None` if it is
-    /// unknown how long answers usually take.
+    /// Time without an answer after which the endpoint is suspected and other calls avoid it. `None` if it is unknown
+    /// how long answers usually take, or if a slow endpoint is not to be suspected before the attempt is given up.
     pub(super) suspect_after: Option<Duration>,
     /// Time after which the attempt is given up.
     pub(super) give_up_after: Duration,
 }
 
-/// Sends a call to an endpoint and waits for the head of the answer. Records a failure in the load table.
+/// Sends a call to an endpoint and waits for the head of the answer, but not for its body. A failed attempt is logged,
+/// counted in the metrics and recorded in the load table.
 pub(super) async fn send(
     call: &AcceptedCall,
     chosen: &ChosenEndpoint,
@@ -150,6 +152,8 @@
         Ok(Err(failure)) => {
             let outcome = match failure.state {
                 AttemptState::Unsent => AttemptOutcome::NotRun { arrived: false },
+                // The endpoint may have run the call. This includes `Ended`: the client returned an error, so there is
+                // no answer to pass on.
                 AttemptState::Written | AttemptState::Started | AttemptState::Ended => AttemptOutcome::Lost,
             };
             (outcome, failure.to_string())
@@ -190,6 +194,7 @@
     match outcome {
         AttemptOutcome::NotRun { arrived: false } => state.loads.record_unreachable(boot_now(), &chosen.name),
         AttemptOutcome::Lost | AttemptOutcome::TimedOut => state.loads.record_silence(boot_now(), &chosen.name),
+        // `NotRun { arrived: true }`. `Answered` has already been returned.
         _ => state.loads.record_failure(boot_now(), &chosen.name),
     }
     drop(state);
