--- a/crates/acacia-entry/src/serving/prefill.rs
+++ b/crates/acacia-entry/src/serving/prefill.rs
@@ -27,20 +27,20 @@
 
 /// Multiple of the expected prefill time, including the queue, after which another engine is asked.
 const PREFILL_TIMEOUT_FACTOR: f64 = 3.0;
-/// Time that is added to this limit for a step of the engine and the network.
+/// Time that is added to this limit for one iteration of the engine's batch loop and for the network.
 const PREFILL_TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
 /// Number of failed engines after which the prefill of a prompt is given up.
 const MAX_FAILED_ENGINES: usize = 3;
 /// Number of unreachable engines after which the prefill of a prompt is given up. Each of them costs a connection
 /// attempt.
 const MAX_UNREACHABLE_ENGINES: usize = 8;
-/// Maximum size of an engine's answer to a prefill request, in bytes.
+/// Maximum size of an engine's answer to a prefill request or to a request that frees a handle, in bytes.
 const MAX_HANDLE_BYTES: usize = 16 * 1024;
-/// Time limit for freeing a handle.
+/// Time limit for freeing a handle, including reading the engine's answer.
 const FREE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Prompt that an engine has prefilled and keeps for a decode engine. Dropping the value frees it on the engine, unless
-/// a decode engine has taken it.
+/// Prompt that an engine has prefilled and keeps for a decode engine. The engine identifies it by a handle. Dropping
+/// the value frees the prompt on the engine, unless a decode engine has taken it.
 #[derive(Debug)]
 pub(super) struct PrefilledPrompt {
     pub(super) address: SocketAddr,
@@ -92,8 +92,8 @@
     }
 }
 
-/// Has an engine prefill the prompt of a call. `is_retry` is true if the prompt of this call was sent for prefill
-/// before, so that every attempt counts as a retry.
+/// Has an engine prefill the prompt of a call. `is_retry` is true if a prefill was requested for this call before. Then
+/// even the first attempt takes a retry from the service's retry limit.
 pub(super) async fn prefill_prompt(
     call: &AcceptedCall,
     prompt: &PromptShape,
@@ -111,7 +111,8 @@
         };
         let left = call.deadline.since(now);
         let wait = reader.place.wait;
-        // Demand is recorded for refused calls too, because their callers retry.
+        // Demand is recorded for each engine chosen, and before the call may be refused, because the callers of refused
+        // calls retry.
         record_demand(call, &reader.place);
         if wait >= left {
             return Err(not_run(
