--- a/crates/acacia-entry/src/serving/plain_call.rs
+++ b/crates/acacia-entry/src/serving/plain_call.rs
@@ -1,4 +1,4 @@
-//! Calls that a single endpoint answers completely.
+//! Calls that are answered with an ordinary response instead of an event stream.
 
 use acacia_http::{ResponseBody, full_body};
 use acacia_runtime::clock::boot_now;
@@ -23,8 +23,8 @@
 /// Answers up to this size are read whole before they are passed on: a call that may be repeated can then be sent again
 /// when its answer breaks off.
 const MAX_BUFFERED_CONTENT_LENGTH: usize = 64 * 1024;
-/// Time limit for reading a discarded answer to its end so that its connection can be reused. A new connection costs
-/// about as much.
+/// Time limit for reading a discarded answer to its end so that its connection can be reused. Opening a new connection
+/// takes about as long, so reading for longer gains nothing.
 const DISCARD_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(20);
 /// Number of rejected and unreachable attempts that a call tolerates before it is given up.
 const MAX_REJECTIONS: u32 = 3;
@@ -33,7 +33,7 @@
 #[derive(Debug, Default)]
 struct PlainAttempts {
     tried: Vec<EndpointName>,
-    /// Number of attempts after which an endpoint may have run the call.
+    /// Number of attempts so far in which an endpoint may have run the call.
     possible_runs: u32,
     rejections: u32,
 }
@@ -162,7 +162,9 @@
         && call.shared.acquire_retry(now, &call.service)
 }
 
-/// Reads a small answer whole, or begins to pass a large one on; nothing if it broke off before its end.
+/// Builds the response to the caller from an endpoint's answer. An answer whose declared length exceeds
+/// [`MAX_BUFFERED_CONTENT_LENGTH`] is streamed; any other is first read to its end. Returns `None` if that fails or
+/// takes until the deadline of the call.
 async fn relay_answer(
     call: &AcceptedCall,
     chosen: &ChosenEndpoint,
