--- a/crates/acacia-entry/src/serving/stream_call.rs
+++ b/crates/acacia-entry/src/serving/stream_call.rs
@@ -27,8 +27,8 @@
 const MAX_REJECTIONS: u32 = 3;
 /// Number of unreachable engines that a call tolerates before it is given up. Each of them costs a connection attempt.
 const MAX_UNREACHABLE: u32 = 8;
-/// Fraction of the route's event timeout for which an engine may be silent before the stream is resumed at another one.
-/// After the whole timeout, the caller disconnects.
+/// Fraction of the route's event timeout after which the stream of a silent engine is resumed at another one. This has
+/// to happen before the whole timeout has passed, because the caller then disconnects.
 const SILENCE_FRACTION: f64 = 0.6;
 
 /// Multiple of the suspicion timeout that an engine may take to begin its answer before the call is retried at another
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 pub(super) struct StreamAttempts {
     pub(super) call: AcceptedCall,
-    /// Number of attempts after which an engine may have begun to decode.
+    /// Number of attempts so far in which an engine may have begun to decode.
     possible_runs: u32,
     rejections: u32,
     unreachable: u32,
@@ -100,7 +100,7 @@
     /// Returns the time for which the engine may send nothing.
     pub(super) fn silence_timeout(&self) -> Duration {
         let left = self.call.deadline.since(boot_now());
-        // A stream that nobody else can continue is waited for as long as its caller may be waiting.
+        // If no other engine may continue the stream, the entry waits for this one until the deadline of the call.
         if self.call.route().kind.may_repeat() && self.possible_runs < self.call.route().max_attempts {
             left.min(self.call.route().event_timeout().mul_f64(SILENCE_FRACTION))
         } else {
@@ -112,6 +112,7 @@
     /// service's usual time to first answer is known and the call can be retried elsewhere.
     fn first_answer_timeout(&self, suspect_after: Option<Duration>) -> Duration {
         let timeout = self.silence_timeout();
+        // `possible_runs` does not yet include the attempt that is about to be sent.
         let can_retry = self.call.route().kind.may_repeat() && self.possible_runs + 1 < self.call.route().max_attempts;
         match suspect_after {
             Some(suspect_after) if can_retry => timeout.min(suspect_after.mul_f64(FIRST_ANSWER_FACTOR)),
