--- a/crates/acaciabay/src/core/serving/endpoint_load.rs
+++ b/crates/acaciabay/src/core/serving/endpoint_load.rs
@@ -25,7 +25,7 @@
 }
 
 impl EndpointWork {
-    /// Returns the sum of both.
+    /// Returns the sum of `self` and `other`.
     #[must_use]
     pub const fn plus(self, other: Self) -> Self {
         Self {
@@ -44,14 +44,16 @@
     }
 }
 
-/// Time for which an endpoint is suspected after its first failure. Each further failure doubles it. A suspected
-/// endpoint is used only if there is no other.
+/// Time for which an endpoint is suspected after its first failure. Each further failure doubles it, up to
+/// [`MAX_SUSPICION`]. A suspected endpoint is used only if there is no other.
 const INITIAL_SUSPICION: Duration = Duration::from_millis(300);
 /// Minimum time for which a silent endpoint is suspected: long enough for other entries to hear of it.
 const MIN_SILENCE_SUSPICION: Duration = Duration::from_secs(1);
-/// Maximum time for which an endpoint is suspected. A recovered endpoint is noticed within this time.
+/// Maximum time for which this entry suspects an endpoint after a failure. The endpoint may then be tried again, so
+/// that its recovery is noticed.
 const MAX_SUSPICION: Duration = Duration::from_secs(3);
-/// Assumed prefill time per token, in milliseconds, of an engine without measurements: the middle of current engines.
+/// Assumed prefill time per token, in milliseconds, of an engine without measurements. The value is typical of
+/// current engines.
 const DEFAULT_PACE: f64 = 0.02;
 /// Weight of a new measurement in the moving average of the pace.
 const PACE_WEIGHT: f64 = 0.1;
@@ -154,9 +156,10 @@
         measured.or(usual).unwrap_or(DEFAULT_PACE)
     }
 
-    /// Records a failure for which the endpoint is probably to blame.
+    /// Records a failure that the endpoint has probably caused.
     pub fn record_failure(&mut self, now: BootTime, name: &EndpointName) {
         let row = self.row(name);
+        // The limit keeps the power from overflowing. Eight doublings already exceed `MAX_SUSPICION`.
         let doublings = row.failures.min(8);
         let suspicion = INITIAL_SUSPICION * 2_u32.pow(doublings);
         row.failures += 1;
