--- a/crates/acaciabay/src/ops/place_prompt.rs
+++ b/crates/acaciabay/src/ops/place_prompt.rs
@@ -15,29 +15,30 @@
 use crate::util::number::round_up;
 use crate::util::rendezvous;
 
-/// Estimated probability that an engine still caches a part that it has prefilled and has not evicted it since.
+/// Estimated probability that an engine still caches the parts that this entry believes it to have cached.
 const CACHE_HIT_PROBABILITY: f64 = 0.95;
 
-/// Weight of a token that this prompt adds relative to a token that is already queued. Prefilling a shared part again
-/// delays every later prompt, not only this one.
+/// Weight of a token of this prompt that the engine has to prefill, relative to a token that is already queued. Tokens
+/// that are cached or expected to be copied do not count. Prefilling a shared part again delays every later prompt, not
+/// only this one.
 const NEW_TOKEN_WEIGHT: f64 = 8.0;
 
 /// Number of engines that share the prompts of one part: the first home and the next ones by hash. A few are enough to
 /// balance the queues, and each additional one stores another copy of the part.
 const HOMES_PER_PART: usize = 3;
 
-/// Cost of a home other than the first in the choice of a prefill engine, in milliseconds of its queue. A part can be
-/// copied only once an engine has prefilled it. If the first prompts with a part were scattered, several engines would
-/// prefill it before any could copy it.
+/// Cost of a home other than the first in the choice of a prefill engine, in milliseconds. It is compared with the time
+/// that the prompt would wait in the queues of the engines. A part can be copied only once an engine has prefilled it.
+/// If the first prompts with a part were scattered, several engines would prefill it before any could copy it.
 const SECONDARY_HOME_COST_MS: f64 = 800.0;
 
 /// Cost of an engine that is no home of the part, in milliseconds. It is about the time that callers wait, so that such
 /// an engine is used only when all homes are overloaded.
 const NON_HOME_COST_MS: f64 = 3_000.0;
 
-/// Cost of an engine that must copy a part known to be cached elsewhere, in milliseconds, when every prefill engine is
-/// busy. Each copy evicts other parts, which busy engines then have to prefill again. The cost is scaled by the
-/// fraction of prefill engines that are busy.
+/// Cost of an engine that lacks shared parts but can copy all of them from another engine, in milliseconds. Each copy
+/// evicts other parts, which busy engines then have to prefill again. The cost is therefore multiplied by the fraction
+/// of prefill engines that are busy, and applies in full only if all of them are.
 const CACHED_ELSEWHERE_COST_MS: f64 = 800.0;
 
 /// Minimum of the busy fraction by which [`CACHED_ELSEWHERE_COST_MS`] is scaled, also if hardly any prefill engine is
@@ -48,7 +49,7 @@
 /// learn of each other's calls in time would all choose the same engine.
 const TIE_BREAK_MS: f64 = 10.0;
 
-/// Fixed time of a copy beside the transfer itself, in milliseconds. The value is in the middle of current engines.
+/// Fixed time of a copy beside the transfer itself, in milliseconds. The value is typical of current engines.
 const COPY_OVERHEAD_MS: f64 = 4.0;
 
 /// Ratio of the transfer time from another failure domain to that within a domain, as the users' protocol specifies.
@@ -143,13 +144,15 @@
 struct PartHomes<'table> {
     key: [u8; 8],
     ranked: Vec<&'table EndpointName>,
-    /// The fraction of prefill engines that are busy.
+    /// The result of [`busy_fraction`]. It is computed once for each prompt and kept here for the cost estimates of all
+    /// engines.
     busy_fraction: f64,
 }
 
 impl<'table> PartHomes<'table> {
     fn of(prefill_engines: &[Candidate<'table>], prompt: &PromptShape, busy_fraction: f64) -> Self {
         let Some(part) = prompt.affinity() else {
+            // Without a shared part there are no homes, and the key serves only to separate engines of equal cost.
             return Self {
                 key: prompt.parts.last().map_or(0, |part| part.id.0).to_be_bytes(),
                 ranked: Vec::new(),
@@ -175,7 +178,8 @@
         TIE_BREAK_MS * hash_rank(&self.key, name) as f64 / u64::MAX as f64
     }
 
-    /// Returns the cost of an engine that is not the first home of the part, in milliseconds.
+    /// Returns the cost of an engine by its position among the homes of the part, in milliseconds. It is zero for the
+    /// first home, and for every engine if the prompt has no shared part.
     fn penalty_ms(&self, name: &EndpointName) -> f64 {
         match self.ranked.iter().position(|home| *home == name) {
             Some(0) => 0.0,
@@ -194,8 +198,8 @@
 /// The two engines that most probably cache the shared parts of a prompt.
 ///
 /// Engines to which this entry has sent these parts come first, then the others in the order of their hashes. If the
-/// home has just joined, the second engine is its predecessor. An engine that has just begun to leave is still
-/// considered.
+/// order depends on the hashes alone and the first home has just joined, the second engine is the one that was the
+/// first home before. An engine that has just begun to leave is still considered.
 #[derive(Clone, Copy, Debug, Default)]
 struct LikelySources<'table> {
     first: Option<Candidate<'table>>,
