--- a/crates/acaciabay/src/ops/replace_refused.rs
+++ b/crates/acaciabay/src/ops/replace_refused.rs
@@ -30,9 +30,8 @@
         .map(|(domain, want)| (domain, expected_pool(domain, *want, view)))
         .collect();
     let total: u32 = expected.values().map(|pool| pool.total()).sum();
-    let dependable = total.saturating_sub(endpoints_at_risk(&expected, view));
-    let missing = view.needed_now.saturating_sub(dependable);
-    for _ in 0..missing {
+    // The length of the range is the number of missing endpoints.
+    for _ in total.saturating_sub(endpoints_at_risk(&expected, view))..view.needed_now {
         let with_room = expected.iter_mut().filter(|(_, pool)| pool.total() < spec.max);
         let Some((domain, pool)) = with_room.min_by_key(|(_, pool)| pool.total()) else {
             break;
