--- a/crates/acacia-http/src/fetch.rs
+++ b/crates/acacia-http/src/fetch.rs
@@ -15,7 +15,7 @@
 use crate::client::{ClientOptions, ConnectionChoice, EndpointClient};
 
 /// Maximum size of a response body, in bytes.
-const LARGEST_ANSWER: usize = 64 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
 /// A response whose body has been read completely.
 #[derive(Clone, Debug)]
@@ -101,7 +101,7 @@
         .send(BootTime::default(), address, ConnectionChoice::Fresh, request)
         .await?;
     let (parts, incoming) = answer.response.into_parts();
-    let bytes = read_body(incoming, LARGEST_ANSWER, timeout)
+    let bytes = read_body(incoming, MAX_RESPONSE_BYTES, timeout)
         .await
         .map_err(|refusal| anyhow::anyhow!("answer could not be read: {refusal:?}"))?;
     let body = serde_json::from_slice(&bytes).unwrap_or(Value::Null);
