--- a/crates/acacia-http/src/lib.rs
+++ b/crates/acacia-http/src/lib.rs
@@ -14,6 +14,6 @@
     prepare_socket,
 };
 pub use fetch::{FetchRequest, FetchedAnswer, fetch_json};
-pub use message_head::{head_size, keep_alive, path_of, without_hop_headers};
+pub use message_head::{head_size, keep_alive, path_of, without_hop_by_hop_headers};
 pub use server::{ServerBounds, listen, serve_http, serve_http_within};
 pub use watched_stream::WriteGuard;
--- a/crates/acacia-http/src/message_head.rs
+++ b/crates/acacia-http/src/message_head.rs
@@ -12,7 +12,7 @@
 pub const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
 /// Headers that apply to a single connection and are not forwarded.
-const HOP_HEADERS: [HeaderName; 9] = [
+const HOP_BY_HOP_HEADERS: [HeaderName; 9] = [
     CONNECTION,
     KEEP_ALIVE,
     PROXY_AUTHENTICATE,
@@ -25,11 +25,11 @@
 ];
 
 /// Bytes that a header line takes in addition to its name and value: a colon, a space and the line ending.
-const HEADER_FRAME: usize = 4;
+const HEADER_OVERHEAD: usize = 4;
 
 /// Returns the headers without the hop-by-hop headers and without those that a `Connection` header lists. A listed
 /// header is kept if it is in `end_to_end`.
-pub fn without_hop_headers(headers: &HeaderMap, end_to_end: &[HeaderName]) -> HeaderMap {
+pub fn without_hop_by_hop_headers(headers: &HeaderMap, end_to_end: &[HeaderName]) -> HeaderMap {
     let mut kept = headers.clone();
     let named = headers.get_all(CONNECTION).iter();
     let named = named
@@ -42,7 +42,7 @@
             kept.remove(name);
         }
     }
-    for name in HOP_HEADERS {
+    for name in HOP_BY_HOP_HEADERS {
         kept.remove(name);
     }
     kept
@@ -53,7 +53,7 @@
     let fields = parts
         .headers
         .iter()
-        .map(|(name, value)| name.as_str().len() + value.len() + HEADER_FRAME);
+        .map(|(name, value)| name.as_str().len() + value.len() + HEADER_OVERHEAD);
     parts.uri.path().len() + fields.sum::<usize>()
 }
 
