--- a/crates/acacia-http/src/server.rs
+++ b/crates/acacia-http/src/server.rs
@@ -24,7 +24,7 @@
 const CLIENT_USER_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Delay after a failed `accept`, for example when the process has no file descriptors left.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Limits on the resources that clients may use.
 #[derive(Clone, Copy, Debug)]
@@ -92,7 +92,7 @@
             accepted = listener.accept() => accepted,
         };
         let Ok((stream, _)) = accepted else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let (stop, handle, bounds) = (stop.clone(), handle.clone(), bounds_now());
