--- a/crates/acacia-http/src/watched_stream.rs
+++ b/crates/acacia-http/src/watched_stream.rs
@@ -70,7 +70,7 @@
         }
     }
 
-    fn count(&self, result: &Poll<io::Result<usize>>) {
+    fn record_written(&self, result: &Poll<io::Result<usize>>) {
         if let Poll::Ready(Ok(bytes)) = result {
             self.written.add(*bytes);
         }
@@ -91,7 +91,7 @@
     fn poll_write(mut self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         self.check_guard()?;
         let result = Pin::new(&mut self.inner).poll_write(context, bytes);
-        self.count(&result);
+        self.record_written(&result);
         result
     }
 
@@ -102,7 +102,7 @@
     ) -> Poll<io::Result<usize>> {
         self.check_guard()?;
         let result = Pin::new(&mut self.inner).poll_write_vectored(context, slices);
-        self.count(&result);
+        self.record_written(&result);
         result
     }
 
