--- a/crates/acacia-http/src/client.rs
+++ b/crates/acacia-http/src/client.rs
@@ -154,16 +154,16 @@
             while let Some(connection) = self.take_idle(now, address) {
                 match send_on(connection, address, request).await {
                     Ok(answer) => return Ok(answer),
-                    Err(Refused::Unsent(unsent)) => request = *unsent,
-                    Err(Refused::Failed(failure)) => return Err(failure),
+                    Err(SendError::Unsent(unsent)) => request = *unsent,
+                    Err(SendError::Failed(failure)) => return Err(failure),
                 }
             }
         }
         let connection = self.connect(address).await.map_err(SendFailure::unsent)?;
         match send_on(connection, address, request).await {
             Ok(answer) => Ok(answer),
-            Err(Refused::Unsent(_)) => Err(SendFailure::unsent(anyhow::anyhow!("new connection was closed"))),
-            Err(Refused::Failed(failure)) => Err(failure),
+            Err(SendError::Unsent(_)) => Err(SendFailure::unsent(anyhow::anyhow!("new connection was closed"))),
+            Err(SendError::Failed(failure)) => Err(failure),
         }
     }
 
@@ -217,7 +217,7 @@
     }
 }
 
-enum Refused {
+enum SendError {
     Unsent(Box<Request<Full<Bytes>>>),
     Failed(SendFailure),
 }
@@ -226,21 +226,21 @@
     mut connection: OpenConnection,
     address: SocketAddr,
     request: Request<Full<Bytes>>,
-) -> Result<EndpointAnswer, Refused> {
+) -> Result<EndpointAnswer, SendError> {
     let before = connection.written.count();
     match connection.sender.try_send_request(request).await {
         Ok(response) => Ok(EndpointAnswer {
             response,
             connection: FinishedConnection { address, connection },
         }),
-        Err(mut refused) => match refused.take_message() {
-            Some(request) => Err(Refused::Unsent(Box::new(request))),
+        Err(mut error) => match error.take_message() {
+            Some(request) => Err(SendError::Unsent(Box::new(request))),
             None if connection.written.count() == before => {
-                Err(Refused::Failed(SendFailure::unsent(refused.into_error())))
+                Err(SendError::Failed(SendFailure::unsent(error.into_error())))
             }
             None => {
-                let source = anyhow::Error::new(refused.into_error());
-                Err(Refused::Failed(SendFailure {
+                let source = anyhow::Error::new(error.into_error());
+                Err(SendError::Failed(SendFailure {
                     state: AttemptState::Written,
                     source,
                 }))
