--- a/crates/acacia-control/src/serving/hub.rs
+++ b/crates/acacia-control/src/serving/hub.rs
@@ -13,13 +13,13 @@
 use acacia_wire::generated::serving::{EndpointNews, RestingEngine, RestingEngines};
 use acaciabay::core::clock::BootTime;
 use acaciabay::core::name::{DomainName, EndpointName, HostName, ServiceName};
+use acaciabay::core::serving::cached_parts::KeptLog;
 use acaciabay::core::serving::config::{ConfigNumber, ServingConfig};
 use acaciabay::core::serving::config_transfer::ConfigDocument;
 use acaciabay::core::serving::endpoint_load::EndpointWork;
 use acaciabay::core::serving::endpoint_registry::{
     EndpointIncarnation, EndpointRegistry, ReportEffect, ServingEndpoint,
 };
-use acaciabay::core::serving::kept_parts::KeptLog;
 use acaciabay::core::serving::shared_suspicion::shared_suspicions;
 use acaciabay::core::serving::start_counts::GatheredRow;
 use parking_lot::{Mutex, MutexGuard};
--- a/crates/acacia-control/src/serving/renewals.rs
+++ b/crates/acacia-control/src/serving/renewals.rs
@@ -15,9 +15,9 @@
 };
 use acaciabay::core::clock::BootTime;
 use acaciabay::core::name::HostName;
+use acaciabay::core::serving::cached_parts::LogPlace;
 use acaciabay::core::serving::config::ConfigNumber;
 use acaciabay::core::serving::config_transfer::{ConfigDocument, ConfigSender};
-use acaciabay::core::serving::kept_parts::LogPlace;
 use acaciabay::core::serving::start_counts::{EntryStart, GatheredRow};
 use acaciabay::util::number::whole_millis;
 use prost::Message;
--- a/crates/acacia-wire/src/serving_message.rs
+++ b/crates/acacia-wire/src/serving_message.rs
@@ -1,12 +1,12 @@
 //! What entries and replicas say about calls by host and path, to and from the library's types.
 
 use acaciabay::core::name::{CustomerName, EndpointName};
+use acaciabay::core::serving::cached_parts::KeptPart;
 use acaciabay::core::serving::config::ConfigNumber;
 use acaciabay::core::serving::config_transfer::ConfigUpdate;
 use acaciabay::core::serving::duty::{DutyTable, FenceNumber};
 use acaciabay::core::serving::endpoint_load::EndpointWork;
 use acaciabay::core::serving::endpoint_registry::{EndpointIncarnation, EndpointPhase, EngineStage, ServingEndpoint};
-use acaciabay::core::serving::kept_parts::KeptPart;
 use acaciabay::core::serving::prompt::{PartId, PromptPart};
 use acaciabay::core::serving::serving_state::ServingState;
 use acaciabay::core::serving::start_counts::{CustomerCounts, EntryStart, GatheredCounts, GatheredRow, WindowNumber};
--- a/crates/acaciabay/src/core/serving/mod.rs
+++ b/crates/acaciabay/src/core/serving/mod.rs
@@ -7,7 +7,7 @@
 //!   renewals that an entry has requested.
 //! * [`endpoint_registry`] orders the reports of endpoints, which may arrive late, repeatedly and by several paths.
 //! * [`prompt`] describes the parts of a prompt, and [`prompt_cache`] estimates which parts an endpoint has cached.
-//! * [`kept_parts`] shares among all entries which engines keep which parts.
+//! * [`cached_parts`] shares among all entries which engines keep which parts.
 //! * [`endpoint_load`] tracks the outstanding work of every endpoint.
 //! * [`answer_pace`] computes after which silence an engine is suspected of having failed, and [`shared_suspicion`]
 //!   selects the suspected endpoints that all entries avoid.
@@ -27,6 +27,7 @@
 //! `docs/design/machines.md` describes the programs that combine these modules.
 
 pub mod answer_pace;
+pub mod cached_parts;
 pub mod config;
 pub mod config_freshness;
 pub mod config_index;
@@ -37,7 +38,6 @@
 pub mod event_stream;
 pub mod group_clock;
 pub mod issued_order;
-pub mod kept_parts;
 pub mod lease_recovery;
 pub mod pending_renewals;
 pub mod prompt;
--- a/crates/acaciabay/tests/serving/cached_parts.rs
+++ b/crates/acaciabay/tests/serving/cached_parts.rs
@@ -1,6 +1,6 @@
 //! Tests of the announcements by which entries share what engines have cached.
 
-use acaciabay::core::serving::kept_parts::{CachedPartOutbox, KeptLog, KeptPart, LogPlace};
+use acaciabay::core::serving::cached_parts::{CachedPartOutbox, KeptLog, KeptPart, LogPlace};
 
 use crate::fixtures::{name, part};
 
