--- a/crates/acaciabay/src/core/serving/endpoint_load.rs
+++ b/crates/acaciabay/src/core/serving/endpoint_load.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use super::endpoint_registry::{EndpointIncarnation, EngineStage, ServingEndpoint};
+use super::prefill_pace::PrefillTime;
 use super::prompt::PromptPart;
 use super::prompt_cache::PromptCacheEstimate;
-use super::reading_pace::PrefillTime;
 use crate::core::clock::BootTime;
 use crate::core::name::EndpointName;
 
--- a/crates/acaciabay/src/core/serving/mod.rs
+++ b/crates/acaciabay/src/core/serving/mod.rs
@@ -17,7 +17,7 @@
 //! * [`replica_tracker`] tracks the replicas that an entry keeps sessions with, and the one that it takes for the
 //!   leader.
 //! * [`start_counts`] counts started calls by window and customer.
-//! * [`reading_pace`] estimates how fast engines read prompts, and [`reading_need`] how many endpoints a service needs
+//! * [`prefill_pace`] estimates how fast engines read prompts, and [`reading_need`] how many endpoints a service needs
 //!   for it.
 //! * [`issued_order`] tracks the outcome of an order for endpoints.
 //! * [`lease_recovery`] determines whether a call is held or refused while an entry has no lease.
@@ -40,10 +40,10 @@
 pub mod issued_order;
 pub mod lease_recovery;
 pub mod pending_renewals;
+pub mod prefill_pace;
 pub mod prompt;
 pub mod prompt_cache;
 pub mod reading_need;
-pub mod reading_pace;
 pub mod replica_tracker;
 pub mod retry_limiter;
 pub mod serving_state;
--- a/crates/acaciabay/tests/serving/prefill_pace.rs
+++ b/crates/acaciabay/tests/serving/prefill_pace.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use acaciabay::core::serving::reading_pace::{PrefillPace, PrefillTime};
+use acaciabay::core::serving::prefill_pace::{PrefillPace, PrefillTime};
 
 /// Length of the test prompts. An idle test engine prefills one in 10 ms.
 const TOKENS: u64 = 3_000;
