--- a/crates/acaciabay/src/core/serving/mod.rs
+++ b/crates/acaciabay/src/core/serving/mod.rs
@@ -7,7 +7,7 @@
 //!   renewals that an entry has requested.
 //! * [`endpoint_registry`] orders the reports of endpoints, which may arrive late, repeatedly and by several paths.
 //! * [`prompt`] describes the parts of a prompt, and [`prompt_cache`] estimates which parts an endpoint has cached.
-//! * [`kept_parts`] shares among all entries which engines keep which parts.
+//! * [`cached_parts`] shares among all entries which engines keep which parts.
 //! * [`endpoint_load`] tracks the outstanding work of every endpoint.
 //! * [`answer_pace`] computes after which silence an engine is suspected of having failed, and [`shared_suspicion`]
 //!   selects the suspected endpoints that all entries avoid.
@@ -17,7 +17,7 @@
 //! * [`replica_tracker`] tracks the replicas that an entry keeps sessions with, and the one that it takes for the
 //!   leader.
 //! * [`start_counts`] counts started calls by window and customer.
-//! * [`reading_pace`] estimates how fast engines read prompts, and [`reading_need`] how many endpoints a service needs
+//! * [`prefill_pace`] estimates how fast engines read prompts, and [`reading_need`] how many endpoints a service needs
 //!   for it.
 //! * [`issued_order`] tracks the outcome of an order for endpoints.
 //! * [`lease_recovery`] determines whether a call is held or refused while an entry has no lease.
@@ -27,6 +27,7 @@
 //! `docs/design/machines.md` describes the programs that combine these modules.
 
 pub mod answer_pace;
+pub mod cached_parts;
 pub mod config;
 pub mod config_freshness;
 pub mod config_index;
@@ -37,13 +38,12 @@
 pub mod event_stream;
 pub mod group_clock;
 pub mod issued_order;
-pub mod kept_parts;
 pub mod lease_recovery;
 pub mod pending_renewals;
+pub mod prefill_pace;
 pub mod prompt;
 pub mod prompt_cache;
 pub mod reading_need;
-pub mod reading_pace;
 pub mod replica_tracker;
 pub mod retry_limiter;
 pub mod serving_state;
